--- a/ledger/src/batch.rs
+++ b/ledger/src/batch.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// So many entries go out together.
-pub const LARGEST: u64 = 200;
+pub const MAX_BATCH_ENTRIES: u64 = 200;
 
 /// Entries that go out together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
 
 impl Batch {
     /// Its name at the sink: the same whenever it is sent.
-    pub fn name(&self, router: &str) -> String {
+    pub fn id(&self, router: &str) -> String {
         format!("{router}/{}-{}", self.first, self.last)
     }
 }
@@ -34,30 +34,33 @@
 
 /// How far the export is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Progress {
+pub struct ExportProgress {
     /// The sink has all entries up to this one.
-    pub has: u64,
+    pub last_exported: u64,
     /// May have been sent.
     pub pending: Option<Batch>,
 }
 
-impl Progress {
+impl ExportProgress {
     /// Takes in a step that was written down.
-    pub fn step(&mut self, step: Step) {
+    pub fn apply(&mut self, step: Step) {
         match step {
-            Step::Sends(batch) if batch.first == self.has + 1 => self.pending = Some(batch),
-            Step::Has(batch) if self.pending == Some(batch) => (self.has, self.pending) = (batch.last, None),
+            Step::Sends(batch) if batch.first == self.last_exported + 1 => self.pending = Some(batch),
+            Step::Has(batch) if self.pending == Some(batch) => {
+                (self.last_exported, self.pending) = (batch.last, None)
+            }
             // No order of writes gives these; what is known stands.
             _ => {}
         }
     }
 
     /// What goes out next, where the ledger's last entry is this one; and whether it has to be written down first.
-    pub fn next(&self, last: u64) -> Option<(Batch, bool)> {
+    pub fn next_batch(&self, last: u64) -> Option<(Batch, bool)> {
         if let Some(batch) = self.pending {
             return Some((batch, false));
         }
-        let first = self.has + 1;
-        (last >= first).then(|| (Batch { first, last: last.min(self.has + LARGEST) }, true))
+        let first = self.last_exported + 1;
+        (last >= first)
+            .then(|| (Batch { first, last: last.min(self.last_exported + MAX_BATCH_ENTRIES) }, true))
     }
 }
--- a/ledger/src/entry.rs
+++ b/ledger/src/entry.rs
@@ -39,7 +39,7 @@
 
 /// An entry of any ledger: the router that wrote it, and its number there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name {
+pub struct EntryId {
     /// The router.
     pub router: String,
     /// The entry's number, from 1.
@@ -81,7 +81,7 @@
     pub repeat_of: Option<u64>,
     /// It corrects that entry: its tokens are added to it, in the period of the correction.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub corrects: Option<Name>,
+    pub corrects: Option<EntryId>,
     /// Why, of a correction.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -4,8 +4,8 @@
 #![warn(missing_docs)]
 
 pub mod batch;
-pub mod book;
 pub mod entry;
 pub mod period;
 pub mod reconcile;
+pub mod recorder;
 pub mod store;
--- a/ledger/src/main.rs
+++ b/ledger/src/main.rs
@@ -1,10 +1,10 @@
 //! The ledgers' command line: checks ledgers, and reconciles those of several routers.
 
 use clap::{Parser, Subcommand};
-use fawnstream_ledger::book::{Book, Rules};
-use fawnstream_ledger::entry::{Name, Record, Tokens};
-use fawnstream_ledger::reconcile::{Account, Merged, Sum};
-use fawnstream_ledger::store::{Log, StoreError, read_all};
+use fawnstream_ledger::entry::{EntryId, Record, Tokens};
+use fawnstream_ledger::reconcile::{MergedLedgers, Reconciliation, UsageTotal};
+use fawnstream_ledger::recorder::{Recorder, RecorderConfig};
+use fawnstream_ledger::store::{LogWriter, StoreError, read_all};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -100,15 +100,15 @@
     Ok(())
 }
 
-fn sum(name: &str, sum: &Sum) -> String {
-    let Sum { requests, inexact, prompt, kept, written } = sum;
+fn sum(name: &str, sum: &UsageTotal) -> String {
+    let UsageTotal { requests, inexact, prompt, kept, written } = sum;
     format!(
         "{name}: {requests} requests ({inexact} inexact), {prompt} prompt ({kept} kept), {written} written"
     )
 }
 
-fn print(account: &Account, json: bool) -> Result<(), Failure> {
-    for ((period, tenant), line) in &account.lines {
+fn print(account: &Reconciliation, json: bool) -> Result<(), Failure> {
+    for ((period, tenant), line) in &account.totals {
         if json {
             println!("{}", serde_json::json!({"period": period, "tenant": tenant, "use": line}));
         } else {
@@ -126,7 +126,7 @@
 }
 
 fn reconcile(folders: &[PathBuf], join_s: u64, json: bool) -> Result<(), Failure> {
-    let (mut merged, mut owners) = (Merged::default(), Vec::new());
+    let (mut merged, mut owners) = (MergedLedgers::default(), Vec::new());
     for folder in folders {
         let mut records = Vec::new();
         let (owner, _) = ledger(folder, |record| records.push(record))?;
@@ -136,7 +136,7 @@
         merged.add(&owner, records);
         owners.push(owner);
     }
-    print(&merged.account(join_s.saturating_mul(1_000)), json)
+    print(&merged.reconcile(join_s.saturating_mul(1_000)), json)
 }
 
 fn run(call: Call) -> Result<(), Failure> {
@@ -148,22 +148,27 @@
             let (owner, _) = ledger(&folder, |record| records.push(record))?;
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
             let (period_ms, grace_ms) = (period_s.saturating_mul(1_000), grace_s.saturating_mul(1_000));
-            let rules =
-                Rules { router: owner.clone(), period_ms, grace_ms, join_ms: 0, quotas: Default::default() };
-            let mut book = Book::new(rules, now, records.iter());
+            let rules = RecorderConfig {
+                router: owner.clone(),
+                period_ms,
+                grace_ms,
+                join_ms: 0,
+                quotas: Default::default(),
+            };
+            let mut book = Recorder::from_records(rules, now, records.iter());
             let of = records.iter().find_map(|record| match record {
                 Record::Entry(known) if known.number == entry && known.corrects.is_none() => Some(known),
                 _ => None,
             });
             let of = of.ok_or(Failure::NoEntry(entry))?;
             let tokens = Tokens { prompt, kept: 0, written };
-            let at = Name { router: owner.clone(), number: entry };
+            let at = EntryId { router: owner.clone(), number: entry };
             let correction = book.correct(of, at, tokens, &reason, now);
             // The lock tells a running router from a stopped one.
-            let (mut log, _) = Log::<Record>::open(&folder, USAGE, &owner, u64::MAX, |_| {})?;
+            let (mut log, _) = LogWriter::<Record>::open(&folder, USAGE, &owner, u64::MAX, |_| {})?;
             log.append(std::slice::from_ref(&correction))?;
             log.sync()?;
-            println!("entry {} corrects {entry}", book.next() - 1);
+            println!("entry {} corrects {entry}", book.next_number() - 1);
             Ok(())
         }
     }
--- a/ledger/src/period.rs
+++ b/ledger/src/period.rs
@@ -1,13 +1,13 @@
 //! Periods: of fixed length, counted from the Unix epoch, and closed once, in order.
 
-/// Where an entry is counted. Only [`Periods::slot`] makes one, so no entry can name a closed period.
+/// Where an entry is counted. Only [`Periods::open_period_for`] makes one, so no entry can name a closed period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Slot {
+pub struct OpenPeriod {
     period: u64,
     late_from: Option<u64>,
 }
 
-impl Slot {
+impl OpenPeriod {
     /// The period.
     pub fn period(self) -> u64 {
         self.period
@@ -25,42 +25,42 @@
     length_ms: u64,
     grace_ms: u64,
     /// All periods below this one are closed; it only grows.
-    open_from: u64,
+    first_open_period: u64,
 }
 
 impl Periods {
     /// With this length and grace, in milliseconds; all before the period of `now_ms` are closed.
     pub fn new(length_ms: u64, grace_ms: u64, now_ms: u64) -> Self {
         let length_ms = length_ms.max(1);
-        Periods { length_ms, grace_ms, open_from: now_ms / length_ms }
+        Periods { length_ms, grace_ms, first_open_period: now_ms / length_ms }
     }
 
     /// The period of a moment.
-    pub fn of(&self, at_ms: u64) -> u64 {
+    pub fn period_at(&self, at_ms: u64) -> u64 {
         at_ms / self.length_ms
     }
 
     /// The first period that is not closed.
-    pub fn open_from(&self) -> u64 {
-        self.open_from
+    pub fn first_open_period(&self) -> u64 {
+        self.first_open_period
     }
 
     /// Where something is counted that came at this moment: a clock that stepped back, and what ends after its
     /// period has closed, get the first open one.
-    pub fn slot(&self, at_ms: u64) -> Slot {
-        let wanted = self.of(at_ms);
-        let period = wanted.max(self.open_from);
-        Slot { period, late_from: (period != wanted).then_some(wanted) }
+    pub fn open_period_for(&self, at_ms: u64) -> OpenPeriod {
+        let wanted = self.period_at(at_ms);
+        let period = wanted.max(self.first_open_period);
+        OpenPeriod { period, late_from: (period != wanted).then_some(wanted) }
     }
 
     /// The last period that is due to be closed, if one is.
-    pub fn due(&self, now_ms: u64) -> Option<u64> {
+    pub fn last_due_period(&self, now_ms: u64) -> Option<u64> {
         let over = now_ms.saturating_sub(self.grace_ms) / self.length_ms;
-        (over > self.open_from).then(|| over - 1)
+        (over > self.first_open_period).then(|| over - 1)
     }
 
     /// Closes all periods up to this one. Those that were closed stay so.
     pub fn close(&mut self, period: u64) {
-        self.open_from = self.open_from.max(period.saturating_add(1));
+        self.first_open_period = self.first_open_period.max(period.saturating_add(1));
     }
 }
--- a/ledger/src/reconcile.rs
+++ b/ledger/src/reconcile.rs
@@ -1,21 +1,21 @@
 //! Reconciliation: the ledgers of several routers, afterwards, as one account. Ledgers merge as sets of entries, so
 //! neither the order nor repetition matters; the rule for retries is then applied to all entries together.
 
-use crate::entry::{Entry, Name, Outcome, Record, Tokens};
+use crate::entry::{Entry, EntryId, Outcome, Record, Tokens};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// All entries of some ledgers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Merged {
-    entries: BTreeMap<Name, Entry>,
+pub struct MergedLedgers {
+    entries: BTreeMap<EntryId, Entry>,
     closed: BTreeMap<String, u64>,
-    conflicts: BTreeSet<Name>,
+    conflicts: BTreeSet<EntryId>,
 }
 
 /// What was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Sum {
+pub struct UsageTotal {
     /// Requests billed.
     pub requests: u64,
     /// Of these, without tokens reported by a server.
@@ -28,7 +28,7 @@
     pub written: i64,
 }
 
-impl Sum {
+impl UsageTotal {
     fn add(&mut self, tokens: Tokens) {
         let mut sum = Tokens { prompt: self.prompt, kept: self.kept, written: self.written };
         sum += tokens;
@@ -38,11 +38,11 @@
 
 /// A tenant's use in a period: within its share, and beyond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Line {
+pub struct TenantUsage {
     /// Within the share.
-    pub within: Sum,
+    pub within: UsageTotal,
     /// Beyond it.
-    pub beyond: Sum,
+    pub beyond: UsageTotal,
 }
 
 /// What an auditor has to look at.
@@ -61,37 +61,37 @@
     /// Two different entries stand under one name; the total has one of them.
     Conflict {
         /// Their name.
-        name: Name,
+        name: EntryId,
     },
     /// A request was served more than once; it is billed once.
     Repeat {
         /// The one that is billed.
-        billed: Name,
+        billed: EntryId,
         /// The one that is not.
-        repeat: Name,
+        repeat: EntryId,
     },
     /// An entry stands in a period that its ledger had closed.
     Closed {
         /// The entry.
-        name: Name,
+        name: EntryId,
     },
     /// A correction names an entry that is not there, or not billed.
     Stray {
         /// The correction.
-        name: Name,
+        name: EntryId,
     },
 }
 
 /// The account of all ledgers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct Reconciliation {
     /// By period and tenant.
-    pub lines: BTreeMap<(u64, String), Line>,
+    pub totals: BTreeMap<(u64, String), TenantUsage>,
     /// In a settled order.
     pub findings: Vec<Finding>,
 }
 
-impl Merged {
+impl MergedLedgers {
     /// Adds a router's records, in their order or any part of them.
     pub fn add(&mut self, router: &str, records: impl IntoIterator<Item = Record>) {
         for record in records {
@@ -101,13 +101,13 @@
                     *closed = period.max(*closed);
                 }
                 Record::Entry(entry) => {
-                    self.put(Name { router: router.to_owned(), number: entry.number }, *entry)
+                    self.put(EntryId { router: router.to_owned(), number: entry.number }, *entry)
                 }
             }
         }
     }
 
-    fn put(&mut self, name: Name, entry: Entry) {
+    fn put(&mut self, name: EntryId, entry: Entry) {
         let old = match self.entries.get(&name) {
             Some(old) if *old != entry => old,
             Some(_) => return,
@@ -121,7 +121,7 @@
     }
 
     /// Adds all of another.
-    pub fn merge(&mut self, other: Merged) {
+    pub fn merge(&mut self, other: MergedLedgers) {
         other.entries.into_iter().for_each(|(name, entry)| self.put(name, entry));
         self.conflicts.extend(other.conflicts);
         for (router, period) in other.closed {
@@ -131,8 +131,8 @@
     }
 
     /// The account, where repeats of an ask within `join_ms` of its first try are tries of one request.
-    pub fn account(&self, join_ms: u64) -> Account {
-        let mut account = Account::default();
+    pub fn reconcile(&self, join_ms: u64) -> Reconciliation {
+        let mut account = Reconciliation::default();
         let mut billed = HashMap::new();
         let mut asks: BTreeMap<(&str, &str, u64), Vec<Try<'_>>> = BTreeMap::new();
         for (name, entry) in self.entries.iter().filter(|(_, entry)| entry.corrects.is_none()) {
@@ -153,7 +153,7 @@
         for (name, entry, of) in corrections {
             match billed.get(of) {
                 Some((tenant, beyond)) => {
-                    let line = account.lines.entry((entry.period, String::clone(tenant))).or_default();
+                    let line = account.totals.entry((entry.period, String::clone(tenant))).or_default();
                     if *beyond { line.beyond.add(entry.tokens) } else { line.within.add(entry.tokens) }
                 }
                 None => account.findings.push(Finding::Stray { name: name.clone() }),
@@ -167,7 +167,7 @@
 
     fn gaps(&self) -> Vec<Finding> {
         let mut gaps = Vec::new();
-        let mut last: Option<&Name> = None;
+        let mut last: Option<&EntryId> = None;
         for name in self.entries.keys() {
             let before = last.filter(|last| last.router == name.router).map_or(0, |last| last.number);
             if name.number > before + 1 {
@@ -180,14 +180,14 @@
     }
 }
 
-impl Account {
+impl Reconciliation {
     /// Bills the tries of one request: the first served, else the first whose answer began, in the period and share
     /// of the first try.
     fn bill<'a>(
         &mut self,
         first: &Entry,
         tries: &[Try<'a>],
-        billed: &mut HashMap<&'a Name, (&'a String, bool)>,
+        billed: &mut HashMap<&'a EntryId, (&'a String, bool)>,
     ) {
         let worth = |entry: &Entry| match entry.outcome {
             Outcome::Served => Some(0),
@@ -200,7 +200,7 @@
         else {
             return;
         };
-        let line = self.lines.entry((first.period, entry.tenant.clone())).or_default();
+        let line = self.totals.entry((first.period, entry.tenant.clone())).or_default();
         let sum = if first.beyond { &mut line.beyond } else { &mut line.within };
         sum.requests += 1;
         sum.inexact += u64::from(!entry.exact);
@@ -208,13 +208,13 @@
         billed.insert(name, (&entry.tenant, first.beyond));
         let again = tries.iter().filter(|(other, entry)| *other != name && entry.outcome == Outcome::Served);
         self.findings.extend(
-            again.map(|(repeat, _)| Finding::Repeat { billed: name.clone(), repeat: Name::clone(repeat) }),
+            again.map(|(repeat, _)| Finding::Repeat { billed: name.clone(), repeat: EntryId::clone(repeat) }),
         );
     }
 }
 
 /// One try of a request.
-type Try<'a> = (&'a Name, &'a Entry);
+type Try<'a> = (&'a EntryId, &'a Entry);
 
 /// What orders different entries of one name.
 fn key(entry: &Entry) -> String {
--- a/ledger/src/book.rs
+++ b/ledger/src/recorder.rs
@@ -1,7 +1,7 @@
 //! The book: what a router writes down of each request, when it begins and when it ends.
 
-use crate::entry::{Entry, Name, Outcome, Record, Tokens};
-use crate::period::{Periods, Slot};
+use crate::entry::{Entry, EntryId, Outcome, Record, Tokens};
+use crate::period::{OpenPeriod, Periods};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Asks remembered at once for joining tries; the oldest go first. What is not joined here is joined by
@@ -12,7 +12,7 @@
 
 /// What the book goes by.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct RecorderConfig {
     /// The router's name.
     pub router: String,
     /// A period's length.
@@ -27,7 +27,7 @@
 
 /// A request that has come: what its first try settled.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Begun {
+pub struct OpenRequest {
     ask: u64,
     tenant: String,
     came_ms: u64,
@@ -39,7 +39,7 @@
     first: u64,
 }
 
-impl Begun {
+impl OpenRequest {
     /// It is beyond the tenant's share.
     pub fn beyond(&self) -> bool {
         self.beyond
@@ -48,7 +48,7 @@
 
 /// What a request used, when it has ended.
 #[derive(Clone, Debug)]
-pub struct Used {
+pub struct RequestUsage {
     /// Its id on the wire.
     pub label: String,
     /// Its class.
@@ -56,11 +56,11 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Its answer began.
-    pub began: bool,
+    pub answer_began: bool,
     /// Tokens that the server reported, if it did.
-    pub reported: Option<Tokens>,
+    pub reported_tokens: Option<Tokens>,
     /// The prompt's tokens as the request told them.
-    pub told_prompt: i64,
+    pub declared_prompt_tokens: i64,
 }
 
 struct Ask {
@@ -72,8 +72,8 @@
 }
 
 /// See the module's page.
-pub struct Book {
-    rules: Rules,
+pub struct Recorder {
+    rules: RecorderConfig,
     periods: Periods,
     next: u64,
     /// Entries since the last close.
@@ -84,19 +84,23 @@
     buckets: HashMap<String, (f64, u64)>,
 }
 
-impl Book {
+impl Recorder {
     /// A book that goes on after these records; of a new one, after none.
-    pub fn new<'a>(rules: Rules, now_ms: u64, before: impl Iterator<Item = &'a Record>) -> Self {
-        let mut book = Book::fresh(rules, now_ms);
+    pub fn from_records<'a>(
+        rules: RecorderConfig,
+        now_ms: u64,
+        before: impl Iterator<Item = &'a Record>,
+    ) -> Self {
+        let mut book = Recorder::new(rules, now_ms);
         before.for_each(|record| book.replay(record));
         book
     }
 
     /// A book without records.
-    pub fn fresh(rules: Rules, now_ms: u64) -> Self {
+    pub fn new(rules: RecorderConfig, now_ms: u64) -> Self {
         let periods = Periods::new(rules.period_ms, rules.grace_ms, now_ms);
         let (asks, order, buckets) = Default::default();
-        Book { rules, periods, next: 1, entries: 0, asks, order, places: 0, buckets }
+        Recorder { rules, periods, next: 1, entries: 0, asks, order, places: 0, buckets }
     }
 
     /// Takes in a record that was written before this start.
@@ -122,17 +126,17 @@
     }
 
     /// The number of the next entry.
-    pub fn next(&self) -> u64 {
+    pub fn next_number(&self) -> u64 {
         self.next
     }
 
     /// The first period that is not closed.
-    pub fn open_from(&self) -> u64 {
-        self.periods.open_from()
+    pub fn first_open_period(&self) -> u64 {
+        self.periods.first_open_period()
     }
 
     /// A request comes.
-    pub fn begin(&mut self, ask: u64, tenant: &str, now_ms: u64) -> Begun {
+    pub fn begin(&mut self, ask: u64, tenant: &str, now_ms: u64) -> OpenRequest {
         self.forget(now_ms);
         self.places += 1;
         let place = self.places;
@@ -147,20 +151,22 @@
                 (now_ms, beyond, place)
             }
         };
-        Begun { ask, tenant: tenant.to_owned(), came_ms: now_ms, first_ms, beyond, place, first }
+        OpenRequest { ask, tenant: tenant.to_owned(), came_ms: now_ms, first_ms, beyond, place, first }
     }
 
     /// A request has ended: its entry.
-    pub fn end(&mut self, begun: Begun, used: Used, now_ms: u64) -> Record {
-        let slot = self.periods.slot(begun.first_ms);
+    pub fn end(&mut self, begun: OpenRequest, used: RequestUsage, now_ms: u64) -> Record {
+        let slot = self.periods.open_period_for(begun.first_ms);
         let known = self.asks.get_mut(&begun.ask).filter(|known| known.place == begun.first);
         let number = self.next;
         let first = known.map(|known| *known.number.get_or_insert(number));
         let repeat_of = first.filter(|first| *first != number && begun.place != begun.first);
-        let (tokens, exact) = match used.reported {
+        let (tokens, exact) = match used.reported_tokens {
             Some(tokens) => (tokens, true),
             // A stream that ended before its usage came: what the request told, and no guess.
-            None if used.began => (Tokens { prompt: used.told_prompt, ..Tokens::default() }, false),
+            None if used.answer_began => {
+                (Tokens { prompt: used.declared_prompt_tokens, ..Tokens::default() }, false)
+            }
             None => (Tokens::default(), true),
         };
         self.write(
@@ -187,8 +193,8 @@
     }
 
     /// Corrects an entry, of this ledger or another, in a period that is open now.
-    pub fn correct(&mut self, of: &Entry, at: Name, tokens: Tokens, reason: &str, now_ms: u64) -> Record {
-        let slot = self.periods.slot(now_ms);
+    pub fn correct(&mut self, of: &Entry, at: EntryId, tokens: Tokens, reason: &str, now_ms: u64) -> Record {
+        let slot = self.periods.open_period_for(now_ms);
         self.write(
             slot,
             Entry {
@@ -207,15 +213,15 @@
         )
     }
 
-    fn write(&mut self, _open: Slot, entry: Entry) -> Record {
+    fn write(&mut self, _open: OpenPeriod, entry: Entry) -> Record {
         self.next += 1;
         self.entries += 1;
         Record::Entry(Box::new(entry))
     }
 
     /// Closes what is due; none if nothing is.
-    pub fn close(&mut self, now_ms: u64) -> Option<Record> {
-        let period = self.periods.due(now_ms)?;
+    pub fn close_due_periods(&mut self, now_ms: u64) -> Option<Record> {
+        let period = self.periods.last_due_period(now_ms)?;
         self.periods.close(period);
         Some(Record::Closed { period, entries: std::mem::take(&mut self.entries) })
     }
--- a/ledger/src/store.rs
+++ b/ledger/src/store.rs
@@ -41,7 +41,7 @@
     },
     /// A file of another form or of another ledger.
     #[error("{}: {what}", path.display())]
-    Foreign {
+    Mismatch {
         /// The file.
         path: PathBuf,
         /// What is wrong.
@@ -173,7 +173,7 @@
 
     /// Takes the text of the head, which is the first.
     fn head(&mut self, kind: &str, text: &[u8]) -> Result<(), StoreError> {
-        let foreign = |what: String| StoreError::Foreign { path: self.path.clone(), what };
+        let foreign = |what: String| StoreError::Mismatch { path: self.path.clone(), what };
         let head: Head =
             serde_json::from_slice(text).map_err(|error| foreign(format!("no head: {error}")))?;
         if head.fawnstream != kind || head.form > FORM {
@@ -200,17 +200,17 @@
 }
 
 /// Reads a folder's records one at a time, and on as they are written. Its end is no error: more may come.
-pub struct Reader<T> {
+pub struct LogReader<T> {
     folder: PathBuf,
     kind: &'static str,
     segment: Option<(u64, Segment)>,
     _of: PhantomData<T>,
 }
 
-impl<T: DeserializeOwned> Reader<T> {
+impl<T: DeserializeOwned> LogReader<T> {
     /// From the first record on.
     pub fn open(folder: &Path, kind: &'static str) -> Result<Self, StoreError> {
-        Ok(Reader { folder: folder.to_owned(), kind, segment: None, _of: PhantomData })
+        Ok(LogReader { folder: folder.to_owned(), kind, segment: None, _of: PhantomData })
     }
 
     /// The next record that was written whole; none if there is none yet.
@@ -248,7 +248,7 @@
     found.sort();
     if let Some(pair) = found.windows(2).find(|pair| pair[1].0 != pair[0].0 + 1) {
         let what = format!("segment {} is missing", pair[0].0 + 1);
-        return Err(StoreError::Foreign { path: folder.to_owned(), what });
+        return Err(StoreError::Mismatch { path: folder.to_owned(), what });
     }
     Ok(found)
 }
@@ -276,7 +276,7 @@
         match (&owner, segment.owner) {
             (Some(owner), Some(other)) if *owner != other => {
                 let what = format!("belongs to {other}, the one before it to {owner}");
-                return Err(StoreError::Foreign { path: path.clone(), what });
+                return Err(StoreError::Mismatch { path: path.clone(), what });
             }
             (None, told) => owner = told,
             _ => {}
@@ -293,8 +293,8 @@
 }
 
 /// Records that are being written. Each is kept in memory until it is on the disk: a write or a sync that fails is made
-/// up for by the next [`Log::sync`], behind the last whole record and in the same order.
-pub struct Log<T> {
+/// up for by the next [`LogWriter::sync`], behind the last whole record and in the same order.
+pub struct LogWriter<T> {
     folder: PathBuf,
     kind: &'static str,
     owner: String,
@@ -318,7 +318,7 @@
     _of: PhantomData<T>,
 }
 
-impl<T: Serialize + DeserializeOwned> Log<T> {
+impl<T: Serialize + DeserializeOwned> LogWriter<T> {
     /// Opens a folder for writing, alone: reads what is there, and cuts a torn end off. True if it did.
     pub fn open(
         folder: &Path,
@@ -342,7 +342,7 @@
         let (told, torn) = read_all(folder, kind, &mut hear)?;
         if !told.is_empty() && told != owner {
             let what = format!("belongs to {told}, not to {owner}");
-            return Err(StoreError::Foreign { path: folder.to_owned(), what });
+            return Err(StoreError::Mismatch { path: folder.to_owned(), what });
         }
         let (segment, path) =
             segments(folder, kind)?.pop().unwrap_or_else(|| (1, segment_path(folder, kind, 1)));
@@ -352,7 +352,7 @@
         }
         let size = file.metadata().map_err(io(&path))?.len();
         let (folder, owner) = (folder.to_owned(), owner.to_owned());
-        let mut log = Log {
+        let mut log = LogWriter {
             folder,
             kind,
             owner,
@@ -382,7 +382,7 @@
         self.unsynced.len()
     }
 
-    /// Takes records on. They are on the disk after a [`Log::sync`] that succeeds, and stay in memory until then; in the
+    /// Takes records on. They are on the disk after a [`LogWriter::sync`] that succeeds, and stay in memory until then; in the
     /// file they are at once where that can be done, so that they outlive the process.
     pub fn append(&mut self, records: &[T]) -> Result<(), StoreError> {
         for record in records {
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -16,8 +16,8 @@
 use fawnstream_attempts::{Attempts, Repeat};
 use fawnstream_fleet::start_times::{Clocks, StartTimes};
 use fawnstream_leases::{AttemptEnd, Leases, Permission, ReleaseOutcome, Terms};
-use fawnstream_ledger::book::Used;
 use fawnstream_ledger::entry::Tokens;
+use fawnstream_ledger::recorder::RequestUsage;
 use leases::Releases;
 use prometheus::{Histogram, HistogramOpts};
 pub use repeats::{RepeatCounts, RepeatLimits};
@@ -912,13 +912,13 @@
             return self.violated(Rule::OneFinalAnswer, &format!("id={} outcome={outcome}", call.label));
         }
         if let Some(usage) = &self.usage {
-            let used = Used {
+            let used = RequestUsage {
                 label: call.label.clone(),
                 class: self.class_name(call.class).to_owned(),
                 outcome: usage::outcome(outcome),
-                began: open.started,
-                reported: tokens,
-                told_prompt: call.prompt_len as i64,
+                answer_began: open.started,
+                reported_tokens: tokens,
+                declared_prompt_tokens: call.prompt_len as i64,
             };
             usage.ended(id, used);
         }
--- a/router/src/usage.rs
+++ b/router/src/usage.rs
@@ -6,9 +6,9 @@
 use crate::config::ledger::Ledger;
 use crate::exchange::Call;
 use crate::handover::Bill;
-use fawnstream_ledger::book::{Begun, Book, Rules, Used};
 use fawnstream_ledger::entry::{Outcome, Record, Tokens};
-use fawnstream_ledger::store::{Log, StoreError};
+use fawnstream_ledger::recorder::{OpenRequest, Recorder, RecorderConfig, RequestUsage};
+use fawnstream_ledger::store::{LogWriter, StoreError};
 use shedrelay::RequestId;
 use shedrelay_settings::Names;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -57,7 +57,7 @@
 /// What the core tells.
 enum Told {
     Came { request: u64, ask: u64, tenant: String, at_ms: u64 },
-    Ended { request: u64, used: Box<Used>, at_ms: u64 },
+    Ended { request: u64, used: Box<RequestUsage>, at_ms: u64 },
     Handed { request: u64 },
     Left,
 }
@@ -108,7 +108,7 @@
         // Its lines are structured; those of connections stay with the house log. A second start in a process keeps
         // the first one's.
         let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-        let rules = Rules {
+        let rules = RecorderConfig {
             router: router.to_owned(),
             period_ms: told.period_ms,
             grace_ms: told.grace_ms,
@@ -182,7 +182,7 @@
     }
 
     /// A request has its final outcome.
-    pub fn ended(&self, request: RequestId, used: Used) {
+    pub fn ended(&self, request: RequestId, used: RequestUsage) {
         self.tell(Told::Ended { request: request.0, used: Box::new(used), at_ms: now_ms() });
     }
 
@@ -198,18 +198,24 @@
 /// Opens the files; where another process holds them it says that it waits, and does.
 fn open(
     told: &Ledger,
-    rules: &Rules,
+    rules: &RecorderConfig,
     waits: bool,
     begun: &std::sync::mpsc::SyncSender<Result<(), UsageError>>,
-) -> Result<(Book, Log<Record>), UsageError> {
+) -> Result<(Recorder, LogWriter<Record>), UsageError> {
     let until = Instant::now() + LOCKED;
     let disk_until = Instant::now() + FAILING_AT_START;
     loop {
         // The first record decides from which period on the book is open, so each is taken in as it is read.
-        let mut book = Book::fresh(rules.clone(), now_ms());
-        match Log::open(&told.folder, KIND, &rules.router, told.segment, |record| book.replay(&record)) {
+        let mut book = Recorder::new(rules.clone(), now_ms());
+        match LogWriter::open(&told.folder, KIND, &rules.router, told.segment, |record| book.replay(&record))
+        {
             Ok((log, torn)) => {
-                tracing::info!(next = book.next(), open_from = book.open_from(), torn, "ledger open");
+                tracing::info!(
+                    next = book.next_number(),
+                    open_from = book.first_open_period(),
+                    torn,
+                    "ledger open"
+                );
                 return Ok((book, log));
             }
             Err(StoreError::Locked { .. }) if waits && Instant::now() < until => {
@@ -233,11 +239,11 @@
 struct Keeper {
     told: Ledger,
     router: String,
-    book: Book,
-    log: Log<Record>,
+    book: Recorder,
+    log: LogWriter<Record>,
     state: Arc<State>,
     /// Requests that have come and not ended; the core ends each.
-    open: HashMap<u64, Begun>,
+    open: HashMap<u64, OpenRequest>,
     /// The numbers of entries that are not on the disk, in their order; none for other records.
     unwritten: VecDeque<Option<u64>>,
     /// When what waits is put on the disk; none if nothing does.
@@ -247,13 +253,13 @@
 }
 
 impl Keeper {
-    fn new(told: Ledger, router: String, book: Book, log: Log<Record>, state: Arc<State>) -> Self {
+    fn new(told: Ledger, router: String, book: Recorder, log: LogWriter<Record>, state: Arc<State>) -> Self {
         let (open, unwritten) = Default::default();
         Keeper { told, router, book, log, state, open, unwritten, sync_at: None, retry: FIRST_RETRY }
     }
 
     async fn run(mut self, mut waiting: mpsc::Receiver<Told>) {
-        let (on_disk, follow) = watch::channel(self.book.next() - 1);
+        let (on_disk, follow) = watch::channel(self.book.next_number() - 1);
         if let Some(sink) = self.told.sink.clone() {
             match export::Export::open(&self.told, sink, &self.router, self.state.clone()) {
                 Ok(export) => drop(actix_rt::spawn(export.run(follow))),
@@ -311,7 +317,7 @@
 
     fn close_periods(&mut self) {
         if self.has_room()
-            && let Some(record) = self.book.close(now_ms())
+            && let Some(record) = self.book.close_due_periods(now_ms())
         {
             self.append(record);
         }
--- a/router/src/usage/export.rs
+++ b/router/src/usage/export.rs
@@ -4,9 +4,9 @@
 use super::{KIND, State};
 use crate::config::ledger::{Ledger, Sink};
 use awc::http::header::CONTENT_TYPE;
-use fawnstream_ledger::batch::{Batch, Progress, Step};
+use fawnstream_ledger::batch::{Batch, ExportProgress, Step};
 use fawnstream_ledger::entry::{Entry, Record};
-use fawnstream_ledger::store::{Log, Reader, StoreError};
+use fawnstream_ledger::store::{LogReader, LogWriter, StoreError};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -39,10 +39,10 @@
     sink: Sink,
     router: String,
     state: Arc<State>,
-    progress: Progress,
-    steps: Log<Step>,
+    progress: ExportProgress,
+    steps: LogWriter<Step>,
     /// The ledger, from the first entry that the sink has not got; read as it is needed.
-    ledger: Reader<Record>,
+    ledger: LogReader<Record>,
     /// The batch that is on its way.
     held: Vec<Entry>,
     wait: Duration,
@@ -52,10 +52,11 @@
 impl Export {
     /// Goes on where the last start ended.
     pub fn open(told: &Ledger, sink: Sink, router: &str, state: Arc<State>) -> Result<Self, StoreError> {
-        let mut progress = Progress::default();
-        let (steps, _) = Log::open(&told.folder, PROGRESS, router, SEGMENT, |step| progress.step(step))?;
-        let ledger = Reader::open(&told.folder, KIND)?;
-        tracing::info!(has = progress.has, pending = progress.pending.is_some(), "ledger export");
+        let mut progress = ExportProgress::default();
+        let (steps, _) =
+            LogWriter::open(&told.folder, PROGRESS, router, SEGMENT, |step| progress.apply(step))?;
+        let ledger = LogReader::open(&told.folder, KIND)?;
+        tracing::info!(has = progress.last_exported, pending = progress.pending.is_some(), "ledger export");
         let (router, held) = (router.to_owned(), Vec::new());
         let folder = told.folder.clone();
         Ok(Export { folder, sink, router, state, progress, steps, ledger, held, wait: FIRST_WAIT, tries: 0 })
@@ -72,7 +73,7 @@
                 Ok(false) => return,
                 Err(error @ StoreError::Io { .. }) => {
                     tracing::warn!(reason = %error, "ledger export waits for its disk");
-                    self.reread(Reader::open(&self.folder, KIND));
+                    self.reread(LogReader::open(&self.folder, KIND));
                     tokio::time::sleep(DISK_WAIT).await;
                 }
                 Err(error) => return tracing::error!(reason = %error, "ledger export stopped"),
@@ -82,7 +83,7 @@
 
     /// One try of one batch. False if there is none.
     async fn one(&mut self, on_disk: u64) -> Result<bool, StoreError> {
-        let Some((batch, fresh)) = self.progress.next(on_disk) else { return Ok(false) };
+        let Some((batch, fresh)) = self.progress.next_batch(on_disk) else { return Ok(false) };
         if fresh {
             self.step(Step::Sends(batch))?;
         }
@@ -104,7 +105,7 @@
     }
 
     /// Reads the ledger from its beginning again: a read that failed may have stopped inside a record.
-    fn reread(&mut self, ledger: Result<Reader<Record>, StoreError>) {
+    fn reread(&mut self, ledger: Result<LogReader<Record>, StoreError>) {
         if let Ok(ledger) = ledger {
             self.ledger = ledger;
             self.held.clear();
@@ -117,7 +118,7 @@
             self.steps.append(&[step])?;
         }
         self.steps.sync()?;
-        self.progress.step(step);
+        self.progress.apply(step);
         Ok(())
     }
 
@@ -135,7 +136,7 @@
 
     /// Whether the sink says that it has the batch.
     async fn send(&mut self, batch: Batch) -> bool {
-        let name = batch.name(&self.router);
+        let name = batch.id(&self.router);
         let body = Body { batch: name.clone(), router: &self.router, entries: &self.held };
         let Ok(body) = serde_json::to_vec(&body) else { return false };
         let uri = format!("http://{}{}", self.sink.address, self.sink.path);
--- a/router/tests/ledger.rs
+++ b/router/tests/ledger.rs
@@ -4,7 +4,7 @@
 mod standins;
 
 use fawnstream_ledger::entry::{Entry, Record};
-use fawnstream_ledger::reconcile::{Account, Merged};
+use fawnstream_ledger::reconcile::{MergedLedgers, Reconciliation};
 use fawnstream_ledger::store::read_all;
 use rstest::rstest;
 use standins::{Chance, PATIENCE, Router, begin, chunk, serve};
@@ -181,10 +181,10 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     drop(routers);
-    let account = |merged: &Merged| -> (Account, HashMap<&str, (i64, i64)>) {
-        let account = merged.account(JOIN_MS);
+    let account = |merged: &MergedLedgers| -> (Reconciliation, HashMap<&str, (i64, i64)>) {
+        let account = merged.reconcile(JOIN_MS);
         let mut sums: HashMap<&str, (i64, i64)> = HashMap::new();
-        for ((_, tenant), line) in &account.lines {
+        for ((_, tenant), line) in &account.totals {
             let sum = sums.entry(TENANTS.into_iter().find(|name| name == tenant).unwrap()).or_default();
             for part in [line.within, line.beyond] {
                 (sum.0, sum.1) = (sum.0 + part.prompt, sum.1 + part.written);
@@ -192,7 +192,7 @@
         }
         (account, sums)
     };
-    let (mut exported, mut kept) = (Merged::default(), Merged::default());
+    let (mut exported, mut kept) = (MergedLedgers::default(), MergedLedgers::default());
     for (router, entries) in batches.lock().unwrap().values() {
         exported.add(router, entries.iter().cloned().map(|entry| Record::Entry(Box::new(entry))));
     }
@@ -206,7 +206,7 @@
     assert_eq!((&sums, &on_disk), (&truth, &truth));
     // No entry is missing, none came twice, and what came beyond a share stands apart.
     assert!(exported.findings.iter().all(|finding| format!("{finding:?}").starts_with("Repeat")));
-    assert!(exported.lines.values().any(|line| line.beyond.requests > 0));
+    assert!(exported.totals.values().any(|line| line.beyond.requests > 0));
 }
 
 /// A disk that takes no more holds the ledger up, not the router: entries wait in memory, and what the disk has is whole.
