--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -19,7 +19,7 @@
 
 /// What can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Call {
+pub enum FaultKind {
     /// `accept4`: the new connection's own errors, and those that pass.
     Accept = 0,
     /// `connect`: no address, no route, refused, timed out.
@@ -41,28 +41,28 @@
 }
 
 /// The preloaded library.
-pub fn library() -> &'static Path {
+pub fn library_path() -> &'static Path {
     Path::new(concat!(env!("OUT_DIR"), "/libfaults.so"))
 }
 
 /// The control page of one process.
 #[derive(Debug)]
-pub struct Control {
+pub struct FaultControl {
     path: PathBuf,
     file: std::fs::File,
 }
 
-impl Control {
+impl FaultControl {
     /// A page that changes nothing yet.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).truncate(true).read(true).write(true).open(path)?;
         file.set_len(SIZE)?;
-        Ok(Control { path: path.to_owned(), file })
+        Ok(FaultControl { path: path.to_owned(), file })
     }
 
     /// Makes a command start under this page. `folder` is where files fail; chance comes from `seed`.
     pub fn preload(&self, command: &mut Command, seed: u64, folder: Option<&Path>) {
-        command.env("LD_PRELOAD", library()).env("FAULTS_CONTROL", &self.path);
+        command.env("LD_PRELOAD", library_path()).env("FAULTS_CONTROL", &self.path);
         command.env("FAULTS_SEED", seed.to_string());
         if let Some(folder) = folder {
             command.env("FAULTS_FOLDER", folder);
@@ -70,7 +70,7 @@
     }
 
     /// From now on so many of a thousand calls fail.
-    pub fn fail(&self, call: Call, per_mille: u32) -> io::Result<()> {
+    pub fn set_rate(&self, call: FaultKind, per_mille: u32) -> io::Result<()> {
         self.file.write_all_at(&per_mille.to_ne_bytes(), call as u64 * 4)
     }
 
@@ -80,14 +80,14 @@
     }
 
     /// How many calls have failed so far.
-    pub fn injected(&self, call: Call) -> io::Result<u32> {
+    pub fn injected_count(&self, call: FaultKind) -> io::Result<u32> {
         let mut count = [0; 4];
         self.file.read_exact_at(&mut count, COUNTS_AT + call as u64 * 4)?;
         Ok(u32::from_ne_bytes(count))
     }
 
     /// All calls work again, and the wall clock is the machine's.
-    pub fn calm(&self) -> io::Result<()> {
+    pub fn clear(&self) -> io::Result<()> {
         self.file.write_all_at(&[0; COUNTS_AT as usize], 0)
     }
 }
--- a/faults/tests/shim.rs
+++ b/faults/tests/shim.rs
@@ -1,15 +1,15 @@
 //! The preloaded library does what its control page says, and nothing without one.
 
-use fawnstream_faults::{Call, Control};
+use fawnstream_faults::{FaultControl, FaultKind};
 use std::path::Path;
 use std::process::Command;
 
-fn control(folder: &Path) -> Control {
-    Control::create(&folder.join("control")).expect("a control page")
+fn control(folder: &Path) -> FaultControl {
+    FaultControl::create(&folder.join("control")).expect("a control page")
 }
 
 /// What `date +%s` prints under a page.
-fn seconds(control: Option<&Control>) -> i64 {
+fn seconds(control: Option<&FaultControl>) -> i64 {
     let mut command = Command::new("date");
     command.arg("+%s");
     if let Some(control) = control {
@@ -26,7 +26,7 @@
     control.step_wall_clock(-3_600_500).expect("a step");
     let behind = seconds(None) - seconds(Some(&control));
     assert!((3_599..=3_602).contains(&behind), "{behind} s behind");
-    control.calm().expect("calm");
+    control.clear().expect("calm");
     assert!((seconds(None) - seconds(Some(&control))).abs() <= 1);
 }
 
@@ -43,8 +43,8 @@
         command.status().expect("dd").success()
     };
     assert!(write(folder.path()), "nothing fails yet");
-    control.fail(Call::Write, 1_000).expect("a rate");
+    control.set_rate(FaultKind::Write, 1_000).expect("a rate");
     assert!(!write(folder.path()));
-    assert!(control.injected(Call::Write).expect("a count") > 0);
+    assert!(control.injected_count(FaultKind::Write).expect("a count") > 0);
     assert!(write(Path::new("/nowhere")), "files elsewhere work");
 }
--- a/router/tests/system_calls.rs
+++ b/router/tests/system_calls.rs
@@ -2,7 +2,7 @@
 
 mod standins;
 
-use fawnstream_faults::{Call, Control};
+use fawnstream_faults::{FaultControl, FaultKind};
 use fawnstream_ledger::entry::Record;
 use fawnstream_ledger::store::read_all;
 use standins::{READ, RELEASED, Router, answer, begin, discovery, serve};
@@ -50,7 +50,12 @@
 }
 
 /// A router under a control page, with its configuration's text changed.
-fn start(folder: &Path, control: &Control, change: impl Fn(String) -> String, arguments: &[&str]) -> Router {
+fn start(
+    folder: &Path,
+    control: &FaultControl,
+    change: impl Fn(String) -> String,
+    arguments: &[&str],
+) -> Router {
     std::fs::write(folder.join("config.json"), change(include_str!("config.json").to_owned())).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_fawnstream"));
     command.env_clear().env("PROXY_CONFIG", folder.join("config.json")).args(arguments);
@@ -86,15 +91,15 @@
 /// address accepts under the same faults.
 #[test]
 fn a_failed_accept_costs_no_client_its_request() {
-    [Call::Accept, Call::Exhausted].into_iter().for_each(ask_while_accept_fails);
+    [FaultKind::Accept, FaultKind::Exhausted].into_iter().for_each(ask_while_accept_fails);
 }
 
-fn ask_while_accept_fails(call: Call) {
+fn ask_while_accept_fails(call: FaultKind) {
     let folder = tempfile::tempdir().unwrap();
-    let control = Control::create(&folder.path().join("control")).unwrap();
+    let control = FaultControl::create(&folder.path().join("control")).unwrap();
     let fill = beside_servers();
     let router = start(folder.path(), &control, fill, &[]);
-    control.fail(call, 200).unwrap();
+    control.set_rate(call, 200).unwrap();
     let lost = std::thread::scope(|scope| {
         let asked = scope.spawn(|| unanswered(&router, 600));
         while !asked.is_finished() {
@@ -103,7 +108,7 @@
         }
         asked.join().unwrap()
     });
-    assert!(control.injected(call).unwrap() > 50, "the fault struck");
+    assert!(control.injected_count(call).unwrap() > 50, "the fault struck");
     assert_eq!(lost, 0, "{call:?}: requests without an answer of 600");
 }
 
@@ -114,7 +119,7 @@
 /// Of 100 reads, those that a server gets which starts once the machine's wall clock was stepped.
 fn reads_of_a_cold_server(step_ms: i64) -> usize {
     let folder = tempfile::tempdir().unwrap();
-    let control = Control::create(&folder.path().join("control")).unwrap();
+    let control = FaultControl::create(&folder.path().join("control")).unwrap();
     let counts: [Arc<AtomicUsize>; 2] = Default::default();
     let (known, fresh, writes) = (reader(&counts[0]), reader(&counts[1]), writer());
     let (news, lines) = channel();
@@ -176,12 +181,12 @@
 /// Writes, syncs and opens that fail for a while are made up for: behind the last whole record, in order, none twice.
 #[test]
 fn the_ledger_goes_on_when_the_disk_does() {
-    [Call::Write, Call::Sync].into_iter().for_each(serve_while_the_disk_fails);
+    [FaultKind::Write, FaultKind::Sync].into_iter().for_each(serve_while_the_disk_fails);
 }
 
-fn serve_while_the_disk_fails(call: Call) {
+fn serve_while_the_disk_fails(call: FaultKind) {
     let folder = tempfile::tempdir().unwrap();
-    let control = Control::create(&folder.path().join("control")).unwrap();
+    let control = FaultControl::create(&folder.path().join("control")).unwrap();
     let fill = beside_servers();
     let usage = folder.path().join("usage");
     let ledger = include_str!("../../deploy/ledger.toml").split("[sink]").next().unwrap();
@@ -192,15 +197,15 @@
     let ledger = folder.path().join("ledger.toml");
     let router = start(folder.path(), &control, fill, &["--ledger", ledger.to_str().unwrap()]);
     let first = ask_for(&router, Duration::from_millis(500), 0);
-    control.fail(call, 1_000).unwrap();
+    control.set_rate(call, 1_000).unwrap();
     let second = ask_for(&router, Duration::from_millis(1_500), first);
     // Some succeed in between: half records and half batches.
-    control.fail(call, 500).unwrap();
+    control.set_rate(call, 500).unwrap();
     let third = ask_for(&router, Duration::from_millis(1_000), second);
-    control.calm().unwrap();
+    control.clear().unwrap();
     let all = ask_for(&router, Duration::from_millis(500), third);
     router.wait("router_ledger_entries", all);
-    assert!(control.injected(call).unwrap() > 2, "the fault struck");
+    assert!(control.injected_count(call).unwrap() > 2, "the fault struck");
     let figures = ["router_ledger_lost", "router_ledger_stopped"].map(|name| router.figure(name));
     assert_eq!(figures, [0, 0], "{call:?}");
     drop(router);
@@ -218,21 +223,21 @@
 #[test]
 fn a_router_starts_once_its_ledgers_disk_works() {
     let folder = tempfile::tempdir().unwrap();
-    let control = Control::create(&folder.path().join("control")).unwrap();
+    let control = FaultControl::create(&folder.path().join("control")).unwrap();
     let usage = folder.path().join("usage");
     let ledger = include_str!("../../deploy/ledger.toml").split("[sink]").next().unwrap();
     let ledger = ledger.replace("/var/lib/fawnstream/usage", usage.to_str().unwrap());
     std::fs::write(folder.path().join("ledger.toml"), ledger).unwrap();
     let ledger = folder.path().join("ledger.toml");
-    control.fail(Call::Sync, 1_000).unwrap();
+    control.set_rate(FaultKind::Sync, 1_000).unwrap();
     let router = std::thread::scope(|scope| {
         let started = scope
             .spawn(|| start(folder.path(), &control, beside_nobody, &["--ledger", ledger.to_str().unwrap()]));
         std::thread::sleep(Duration::from_millis(700));
-        control.calm().unwrap();
+        control.clear().unwrap();
         started.join().unwrap()
     });
-    assert!(control.injected(Call::Sync).unwrap() > 1, "the fault struck");
+    assert!(control.injected_count(FaultKind::Sync).unwrap() > 1, "the fault struck");
     assert_eq!(router.figure("router_ledger_stopped"), 0);
 }
 
@@ -240,11 +245,11 @@
 #[test]
 fn the_router_accepts_again_once_descriptors_are_to_be_had() {
     let folder = tempfile::tempdir().unwrap();
-    let control = Control::create(&folder.path().join("control")).unwrap();
+    let control = FaultControl::create(&folder.path().join("control")).unwrap();
     let router = start(folder.path(), &control, beside_nobody, &[]);
-    control.fail(Call::Exhausted, 1_000).unwrap();
+    control.set_rate(FaultKind::Exhausted, 1_000).unwrap();
     let _waiting = TcpStream::connect(router.clients).unwrap();
     std::thread::sleep(Duration::from_millis(300));
-    control.calm().unwrap();
+    control.clear().unwrap();
     assert!(router.ask(1, 1, "log-chat", "donaupay", "1", "{}").starts_with("HTTP/1.1 "));
 }
--- a/soak/src/router.rs
+++ b/soak/src/router.rs
@@ -3,7 +3,7 @@
 use crate::client::Takes;
 use crate::story::{Book, Done, Rest};
 use crate::terms::READY;
-use fawnstream_faults::{Call, Control};
+use fawnstream_faults::{FaultControl, FaultKind};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
     /// Its number.
     pub number: usize,
     /// Faults of its system calls.
-    pub control: Control,
+    pub control: FaultControl,
     program: PathBuf,
     folder: PathBuf,
     seed: u64,
@@ -78,7 +78,7 @@
             usage.display()
         );
         std::fs::write(folder.join("ledger.toml"), ledger)?;
-        let control = Control::create(&folder.join("control"))?;
+        let control = FaultControl::create(&folder.join("control"))?;
         let program = program.to_owned();
         Ok(Arc::new(Router {
             number,
@@ -277,9 +277,9 @@
     }
 
     /// So many of a thousand calls fail from now on.
-    pub fn fail(&self, call: Call, per_mille: u32) {
+    pub fn fail(&self, call: FaultKind, per_mille: u32) {
         // A page that cannot be written is told by the play's own counts.
-        let _ = self.control.fail(call, per_mille);
+        let _ = self.control.set_rate(call, per_mille);
     }
 }
 
--- a/soak/src/trouble.rs
+++ b/soak/src/trouble.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SystemCall {
-    /// See `fawnstream_faults::Call`.
+    /// See `fawnstream_faults::FaultKind`.
     Accept,
     /// The same.
     Connect,
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -11,7 +11,7 @@
 use crate::story::{Book, Done, Seen};
 use crate::trouble::{SystemCall, Trouble, What};
 use crate::worker::{Manner, Mode, Role, Worker};
-use fawnstream_faults::Call;
+use fawnstream_faults::FaultKind;
 use fawnstream_ledger::entry::{Outcome, Record};
 use fawnstream_ledger::store::read_all;
 use rand::{RngExt as _, SeedableRng as _};
@@ -270,7 +270,9 @@
             What::SystemCalls { router, call, per_mille } => {
                 self.calls(router, &[calls(call)], per_mille, time).await;
             }
-            What::DiskFails { router } => self.calls(router, &[Call::Write, Call::Sync], 700, time).await,
+            What::DiskFails { router } => {
+                self.calls(router, &[FaultKind::Write, FaultKind::Sync], 700, time).await
+            }
             What::WallClock { router, step_ms } => {
                 let _ = self.routers[router].control.step_wall_clock(step_ms);
             }
@@ -296,7 +298,7 @@
         self.workers[worker].network.fall_silent(per_mille, time, end).await;
     }
 
-    async fn calls(&self, router: usize, calls: &[Call], per_mille: u32, time: Duration) {
+    async fn calls(&self, router: usize, calls: &[FaultKind], per_mille: u32, time: Duration) {
         calls.iter().for_each(|call| self.routers[router].fail(*call, per_mille));
         tokio::time::sleep(time).await;
         calls.iter().for_each(|call| self.routers[router].fail(*call, 0));
@@ -364,13 +366,13 @@
     flag.store(false, Ordering::Relaxed);
 }
 
-fn calls(call: SystemCall) -> Call {
+fn calls(call: SystemCall) -> FaultKind {
     match call {
-        SystemCall::Accept => Call::Accept,
-        SystemCall::Connect => Call::Connect,
-        SystemCall::Socket => Call::Socket,
-        SystemCall::Wait => Call::Wait,
-        SystemCall::Short => Call::Short,
-        SystemCall::Exhausted => Call::Exhausted,
+        SystemCall::Accept => FaultKind::Accept,
+        SystemCall::Connect => FaultKind::Connect,
+        SystemCall::Socket => FaultKind::Socket,
+        SystemCall::Wait => FaultKind::Wait,
+        SystemCall::Short => FaultKind::Short,
+        SystemCall::Exhausted => FaultKind::Exhausted,
     }
 }
