--- a/ledger/src/entry.rs
+++ b/ledger/src/entry.rs
@@ -1,4 +1,4 @@
-//! What a ledger holds.
+//! The records of a usage ledger.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,26 +6,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
-    /// Answered whole.
+    /// The client got the complete answer.
     Served,
-    /// Refused.
+    /// The request was refused.
     Refused,
-    /// Failed before its answer began.
+    /// The request failed before its answer began.
     Failed,
-    /// Its answer began and broke off.
+    /// The answer began and broke off.
     Broken,
-    /// Its client left.
+    /// The client disconnected.
     Left,
 }
 
-/// Tokens; of a correction, what is added, which may be less than nothing.
+/// Token counts. In a correction they are added to those of the corrected entry and may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tokens {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub prompt: i64,
-    /// Of these, the ones that a server had kept.
+    /// Prompt tokens that the server took from its prefix cache.
     pub kept: i64,
-    /// Of the answer.
+    /// Tokens of the answer.
     pub written: i64,
 }
 
@@ -37,67 +37,68 @@
     }
 }
 
-/// An entry of any ledger: the router that wrote it, and its number there.
+/// Identifies an entry across ledgers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryId {
-    /// The router.
+    /// The router that wrote the entry.
     pub router: String,
-    /// The entry's number, from 1.
+    /// The entry's number in that router's ledger, from 1.
     pub number: u64,
 }
 
-/// One request with its final outcome, or a correction.
+/// A request with its final outcome, or a correction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number in its ledger; without gaps.
+    /// The number in its ledger; numbers have no gaps.
     pub number: u64,
-    /// The period that it is counted in.
+    /// The period in which the entry is counted.
     pub period: u64,
-    /// The period that it belongs to, where that had closed.
+    /// The period of the request's arrival, if it was already closed when the entry was written.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub late_from: Option<u64>,
-    /// What joins tries of one request.
+    /// A hash that is the same for a request and its retries.
     pub ask: u64,
     /// The request's id on the wire.
     pub label: String,
-    /// Whose it is; empty where sites have no customers.
+    /// The tenant; empty at sites without customers.
     pub tenant: String,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// It came beyond the tenant's share.
+    /// The request exceeded the tenant's quota when it arrived.
     pub beyond: bool,
-    /// What it used.
+    /// The tokens used.
     pub tokens: Tokens,
-    /// The server reported the tokens; else they are what the request told, by the written rule.
+    /// The server reported `tokens`, or the answer never began and they are zero. Otherwise the answer broke off before
+    /// the server reported usage, and `tokens` has only the prompt length that the request declared.
     pub exact: bool,
-    /// When it came, in milliseconds of Unix time.
+    /// When the request arrived, in milliseconds of Unix time.
     pub came_ms: u64,
-    /// When it ended.
+    /// When the request ended, in milliseconds of Unix time.
     pub ended_ms: u64,
-    /// The first try of the same ask at the same router.
+    /// For a retry: the first entry of the same request in this ledger.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat_of: Option<u64>,
-    /// It corrects that entry: its tokens are added to it, in the period of the correction.
+    /// For a correction: the entry that it corrects. Its tokens count in the period of the correction.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub corrects: Option<EntryId>,
-    /// Why, of a correction.
+    /// For a correction: the reason given for it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
-/// What stands in a ledger, in its order.
+/// A record of a usage ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Record {
-    /// An entry.
+    /// A request or a correction.
     Entry(Box<Entry>),
     /// All periods up to this one are closed.
     Closed {
         /// The last closed period.
         period: u64,
-        /// How many entries its periods got since the close before.
+        /// The number of entries written since the previous close.
         entries: u64,
     },
 }
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -1,5 +1,6 @@
-//! What each customer used. The decisions (`entry`, `period`, `book`, `batch`, `reconcile`) are pure: no clock, no
-//! files. `store` keeps records on a disk; `docs/design-ledger.md` says why all is as it is.
+//! Usage ledgers: what each tenant used, for billing. `entry`, `period`, `recorder`, `batch` and `reconcile` are pure:
+//! they read no clock and no files. `store` keeps the records on disk. The design and its reasons are in
+//! `docs/design-ledger.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
