--- a/ledger/src/recorder.rs
+++ b/ledger/src/recorder.rs
@@ -1,133 +1,147 @@
-//! The book: what a router writes down of each request, when it begins and when it ends.
+//! The recorder: turns the requests of a router into ledger records and recognises retries of the same request.
 
 use crate::entry::{Entry, EntryId, Outcome, Record, Tokens};
 use crate::period::{OpenPeriod, Periods};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Asks remembered at once for joining tries; the oldest go first. What is not joined here is joined by
-/// reconciliation, so this bounds memory and nothing else.
-const MOST_ASKS: usize = 16_384;
-/// A tenant may use this many seconds of its quota at once, as in the decision module.
-const BURST_S: f64 = 2.0;
+/// The maximum number of requests remembered to recognise their retries; the oldest are dropped first. It only bounds
+/// memory: reconciliation joins the retries that are missed here.
+const MAX_RECENT_REQUESTS: usize = 16_384;
+/// The capacity of a tenant's token bucket, in seconds of its quota; the same as in the decision module.
+const BURST_SECONDS: f64 = 2.0;
 
-/// What the book goes by.
+/// The configuration of a [`Recorder`].
 #[derive(Clone, Debug)]
 pub struct RecorderConfig {
     /// The router's name.
     pub router: String,
-    /// A period's length.
+    /// The length of a period.
     pub period_ms: u64,
-    /// How long after its end a period closes.
+    /// The time between the end of a period and its close.
     pub grace_ms: u64,
-    /// A repeat of an ask so long after its first try is a try of the same request.
+    /// A request that repeats an earlier one (same `ask`) within this time is a retry of it.
     pub join_ms: u64,
-    /// Each tenant's quota a second, at this router.
+    /// Each tenant's quota at this router, in requests per second.
     pub quotas: BTreeMap<String, f64>,
 }
 
-/// A request that has come: what its first try settled.
+/// A request that has begun and not ended. A retry takes its period and quota decision from the first request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenRequest {
     ask: u64,
     tenant: String,
     came_ms: u64,
-    /// When its first try came.
+    /// When the first request arrived, in milliseconds of Unix time.
     first_ms: u64,
     beyond: bool,
-    /// Its own place among all that have come.
-    place: u64,
-    first: u64,
+    /// The arrival number of this request.
+    arrival: u64,
+    /// The arrival number of the first request; equal to `arrival` unless this is a retry.
+    first_arrival: u64,
 }
 
 impl OpenRequest {
-    /// It is beyond the tenant's share.
+    /// Whether the request exceeds the tenant's quota.
     pub fn beyond(&self) -> bool {
         self.beyond
     }
 }
 
-/// What a request used, when it has ended.
+/// How a request ended and what it used.
 #[derive(Clone, Debug)]
 pub struct RequestUsage {
-    /// Its id on the wire.
+    /// The request's id on the wire.
     pub label: String,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// Its answer began.
+    /// Whether the answer began.
     pub answer_began: bool,
-    /// Tokens that the server reported, if it did.
+    /// The tokens that the server reported, if it did.
     pub reported_tokens: Option<Tokens>,
-    /// The prompt's tokens as the request told them.
+    /// The length of the prompt in tokens, as the request declared it.
     pub declared_prompt_tokens: i64,
 }
 
-struct Ask {
-    first_ms: u64,
+/// The first request with an `ask`, kept to recognise its retries.
+struct RecentRequest {
+    came_ms: u64,
     beyond: bool,
-    place: u64,
-    /// The number of its first entry.
-    number: Option<u64>,
+    arrival: u64,
+    /// The number of the first entry written for it or one of its retries.
+    first_entry: Option<u64>,
 }
 
-/// See the module's page.
+/// Creates the records of one ledger; the caller stores them.
 pub struct Recorder {
-    rules: RecorderConfig,
+    config: RecorderConfig,
     periods: Periods,
-    next: u64,
-    /// Entries since the last close.
-    entries: u64,
-    asks: HashMap<u64, Ask>,
-    order: VecDeque<(u64, u64)>,
-    places: u64,
-    buckets: HashMap<String, (f64, u64)>,
+    next_number: u64,
+    entries_since_close: u64,
+    /// By `ask`.
+    recent: HashMap<u64, RecentRequest>,
+    /// The `ask` and arrival number of each recent request, oldest first.
+    arrival_order: VecDeque<(u64, u64)>,
+    /// The last arrival number.
+    arrivals: u64,
+    /// By tenant: the level of its token bucket, and when it was updated in milliseconds of Unix time.
+    quota_buckets: HashMap<String, (f64, u64)>,
 }
 
 impl Recorder {
-    /// A book that goes on after these records; of a new one, after none.
+    /// A recorder that continues after the records of an existing ledger.
     pub fn from_records<'a>(
-        rules: RecorderConfig,
+        config: RecorderConfig,
         now_ms: u64,
-        before: impl Iterator<Item = &'a Record>,
+        records: impl Iterator<Item = &'a Record>,
     ) -> Self {
-        let mut book = Recorder::new(rules, now_ms);
-        before.for_each(|record| book.replay(record));
-        book
+        let mut recorder = Recorder::new(config, now_ms);
+        records.for_each(|record| recorder.replay(record));
+        recorder
     }
 
-    /// A book without records.
-    pub fn new(rules: RecorderConfig, now_ms: u64) -> Self {
-        let periods = Periods::new(rules.period_ms, rules.grace_ms, now_ms);
-        let (asks, order, buckets) = Default::default();
-        Recorder { rules, periods, next: 1, entries: 0, asks, order, places: 0, buckets }
+    /// A recorder for an empty ledger.
+    pub fn new(config: RecorderConfig, now_ms: u64) -> Self {
+        let periods = Periods::new(config.period_ms, config.grace_ms, now_ms);
+        let (recent, arrival_order, quota_buckets) = Default::default();
+        Recorder {
+            config,
+            periods,
+            next_number: 1,
+            entries_since_close: 0,
+            recent,
+            arrival_order,
+            arrivals: 0,
+            quota_buckets,
+        }
     }
 
-    /// Takes in a record that was written before this start.
+    /// Applies a record of an existing ledger.
     pub fn replay(&mut self, record: &Record) {
         match record {
             Record::Entry(entry) => {
-                // A period that has entries was open, whatever the clock says now.
-                if self.next == 1 {
+                // The first entry's period was open when it was written, even if the clock is past that period now.
+                if self.next_number == 1 {
                     self.periods = Periods::new(
-                        self.rules.period_ms,
-                        self.rules.grace_ms,
-                        self.rules.period_ms.saturating_mul(entry.period),
+                        self.config.period_ms,
+                        self.config.grace_ms,
+                        self.config.period_ms.saturating_mul(entry.period),
                     );
                 }
-                self.next = entry.number + 1;
-                self.entries += 1;
+                self.next_number = entry.number + 1;
+                self.entries_since_close += 1;
             }
             Record::Closed { period, .. } => {
                 self.periods.close(*period);
-                self.entries = 0;
+                self.entries_since_close = 0;
             }
         }
     }
 
     /// The number of the next entry.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
     /// The first period that is not closed.
@@ -135,55 +149,64 @@
         self.periods.first_open_period()
     }
 
-    /// A request comes.
+    /// A request arrives. `ask` is the same for a request and its retries.
     pub fn begin(&mut self, ask: u64, tenant: &str, now_ms: u64) -> OpenRequest {
-        self.forget(now_ms);
-        self.places += 1;
-        let place = self.places;
-        let known =
-            self.asks.get(&ask).filter(|known| now_ms.saturating_sub(known.first_ms) <= self.rules.join_ms);
-        let (first_ms, beyond, first) = match known {
-            Some(known) => (known.first_ms, known.beyond, known.place),
+        self.expire_recent(now_ms);
+        self.arrivals += 1;
+        let arrival = self.arrivals;
+        let first =
+            self.recent.get(&ask).filter(|first| now_ms.saturating_sub(first.came_ms) <= self.config.join_ms);
+        let (first_ms, beyond, first_arrival) = match first {
+            Some(first) => (first.came_ms, first.beyond, first.arrival),
             None => {
-                let beyond = self.beyond(tenant, now_ms);
-                self.asks.insert(ask, Ask { first_ms: now_ms, beyond, place, number: None });
-                self.order.push_back((ask, place));
-                (now_ms, beyond, place)
+                let beyond = self.exceeds_quota(tenant, now_ms);
+                self.recent
+                    .insert(ask, RecentRequest { came_ms: now_ms, beyond, arrival, first_entry: None });
+                self.arrival_order.push_back((ask, arrival));
+                (now_ms, beyond, arrival)
             }
         };
-        OpenRequest { ask, tenant: tenant.to_owned(), came_ms: now_ms, first_ms, beyond, place, first }
+        OpenRequest {
+            ask,
+            tenant: tenant.to_owned(),
+            came_ms: now_ms,
+            first_ms,
+            beyond,
+            arrival,
+            first_arrival,
+        }
     }
 
-    /// A request has ended: its entry.
-    pub fn end(&mut self, begun: OpenRequest, used: RequestUsage, now_ms: u64) -> Record {
-        let slot = self.periods.open_period_for(begun.first_ms);
-        let known = self.asks.get_mut(&begun.ask).filter(|known| known.place == begun.first);
-        let number = self.next;
-        let first = known.map(|known| *known.number.get_or_insert(number));
-        let repeat_of = first.filter(|first| *first != number && begun.place != begun.first);
-        let (tokens, exact) = match used.reported_tokens {
+    /// A request ends; returns its entry.
+    pub fn end(&mut self, open: OpenRequest, usage: RequestUsage, now_ms: u64) -> Record {
+        let open_period = self.periods.open_period_for(open.first_ms);
+        let first = self.recent.get_mut(&open.ask).filter(|first| first.arrival == open.first_arrival);
+        let number = self.next_number;
+        let first_entry = first.map(|first| *first.first_entry.get_or_insert(number));
+        let repeat_of = first_entry.filter(|first| *first != number && open.arrival != open.first_arrival);
+        let (tokens, exact) = match usage.reported_tokens {
             Some(tokens) => (tokens, true),
-            // A stream that ended before its usage came: what the request told, and no guess.
-            None if used.answer_began => {
-                (Tokens { prompt: used.declared_prompt_tokens, ..Tokens::default() }, false)
+            // The stream ended before the server reported usage: bill the declared prompt, estimate nothing.
+            None if usage.answer_began => {
+                (Tokens { prompt: usage.declared_prompt_tokens, ..Tokens::default() }, false)
             }
             None => (Tokens::default(), true),
         };
-        self.write(
-            slot,
+        self.record(
+            open_period,
             Entry {
                 number,
-                period: slot.period(),
-                late_from: slot.late_from(),
-                ask: begun.ask,
-                label: used.label,
-                tenant: begun.tenant,
-                class: used.class,
-                outcome: used.outcome,
-                beyond: begun.beyond,
+                period: open_period.period(),
+                late_from: open_period.late_from(),
+                ask: open.ask,
+                label: usage.label,
+                tenant: open.tenant,
+                class: usage.class,
+                outcome: usage.outcome,
+                beyond: open.beyond,
                 tokens,
                 exact,
-                came_ms: begun.came_ms,
+                came_ms: open.came_ms,
                 ended_ms: now_ms,
                 repeat_of,
                 corrects: None,
@@ -192,62 +215,73 @@
         )
     }
 
-    /// Corrects an entry, of this ledger or another, in a period that is open now.
-    pub fn correct(&mut self, of: &Entry, at: EntryId, tokens: Tokens, reason: &str, now_ms: u64) -> Record {
-        let slot = self.periods.open_period_for(now_ms);
-        self.write(
-            slot,
+    /// Returns a correction of an entry of this or another ledger, counted in a period that is open now.
+    pub fn correct(
+        &mut self,
+        original: &Entry,
+        id: EntryId,
+        tokens: Tokens,
+        reason: &str,
+        now_ms: u64,
+    ) -> Record {
+        let open_period = self.periods.open_period_for(now_ms);
+        self.record(
+            open_period,
             Entry {
-                number: self.next,
-                period: slot.period(),
+                number: self.next_number,
+                period: open_period.period(),
                 late_from: None,
                 tokens,
                 exact: true,
                 came_ms: now_ms,
                 ended_ms: now_ms,
                 repeat_of: None,
-                corrects: Some(at),
+                corrects: Some(id),
                 reason: Some(reason.to_owned()),
-                ..of.clone()
+                ..original.clone()
             },
         )
     }
 
-    fn write(&mut self, _open: OpenPeriod, entry: Entry) -> Record {
-        self.next += 1;
-        self.entries += 1;
+    /// Counts an entry. The [`OpenPeriod`] proves that its period is open.
+    fn record(&mut self, _proof: OpenPeriod, entry: Entry) -> Record {
+        self.next_number += 1;
+        self.entries_since_close += 1;
         Record::Entry(Box::new(entry))
     }
 
-    /// Closes what is due; none if nothing is.
+    /// Closes the periods that are due. Returns `None` if there are none.
     pub fn close_due_periods(&mut self, now_ms: u64) -> Option<Record> {
         let period = self.periods.last_due_period(now_ms)?;
         self.periods.close(period);
-        Some(Record::Closed { period, entries: std::mem::take(&mut self.entries) })
+        Some(Record::Closed { period, entries: std::mem::take(&mut self.entries_since_close) })
     }
 
-    fn forget(&mut self, now_ms: u64) {
-        while let Some((ask, place)) = self.order.front().copied() {
-            let known = self.asks.get(&ask).filter(|known| known.place == place);
-            let old = known.is_none_or(|known| now_ms.saturating_sub(known.first_ms) > self.rules.join_ms);
-            if !old && self.order.len() < MOST_ASKS {
+    /// Forgets requests that are too old to have retries, and the oldest where there are too many.
+    fn expire_recent(&mut self, now_ms: u64) {
+        while let Some((ask, arrival)) = self.arrival_order.front().copied() {
+            let first = self.recent.get(&ask).filter(|first| first.arrival == arrival);
+            let expired =
+                first.is_none_or(|first| now_ms.saturating_sub(first.came_ms) > self.config.join_ms);
+            if !expired && self.arrival_order.len() < MAX_RECENT_REQUESTS {
                 return;
             }
-            if known.is_some() {
-                self.asks.remove(&ask);
+            if first.is_some() {
+                self.recent.remove(&ask);
             }
-            self.order.pop_front();
+            self.arrival_order.pop_front();
         }
     }
 
-    fn beyond(&mut self, tenant: &str, now_ms: u64) -> bool {
-        let Some(rate) = self.rules.quotas.get(tenant) else { return false };
-        let most = (BURST_S * rate).max(BURST_S);
-        let (left, at) = self.buckets.entry(tenant.to_owned()).or_insert((most, now_ms));
-        *left = (*left + rate * now_ms.saturating_sub(*at) as f64 / 1_000.0).min(most);
-        *at = now_ms.max(*at);
-        let within = *left >= 1.0;
-        *left -= f64::from(u8::from(within));
+    /// Takes a token for a request from the tenant's bucket; true if there is none left.
+    fn exceeds_quota(&mut self, tenant: &str, now_ms: u64) -> bool {
+        let Some(rate) = self.config.quotas.get(tenant) else { return false };
+        let capacity = (BURST_SECONDS * rate).max(BURST_SECONDS);
+        let (level, updated_ms) = self.quota_buckets.entry(tenant.to_owned()).or_insert((capacity, now_ms));
+        *level = (*level + rate * now_ms.saturating_sub(*updated_ms) as f64 / 1_000.0).min(capacity);
+        *updated_ms = now_ms.max(*updated_ms);
+        let within = *level >= 1.0;
+        *level -= f64::from(u8::from(within));
         !within
     }
 }
