--- a/ledger/src/reconcile.rs
+++ b/ledger/src/reconcile.rs
@@ -1,30 +1,32 @@
-//! Reconciliation: the ledgers of several routers, afterwards, as one account. Ledgers merge as sets of entries, so
-//! neither the order nor repetition matters; the rule for retries is then applied to all entries together.
+//! Reconciliation: merges the ledgers of several routers into one set of totals. Ledgers merge as sets of entries, so
+//! neither order nor repetition matters; retries are then joined over all entries together.
 
 use crate::entry::{Entry, EntryId, Outcome, Record, Tokens};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// All entries of some ledgers.
+/// The entries of several ledgers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergedLedgers {
     entries: BTreeMap<EntryId, Entry>,
+    /// The last closed period of each router.
     closed: BTreeMap<String, u64>,
+    /// The ids with more than one entry.
     conflicts: BTreeSet<EntryId>,
 }
 
-/// What was used.
+/// A sum over billed requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct UsageTotal {
-    /// Requests billed.
+    /// The number of requests billed.
     pub requests: u64,
-    /// Of these, without tokens reported by a server.
+    /// Requests for which the server reported no usage.
     pub inexact: u64,
     /// Prompt tokens.
     pub prompt: i64,
-    /// Of these, kept ones.
+    /// Prompt tokens that servers took from their prefix caches.
     pub kept: i64,
-    /// Written tokens.
+    /// Tokens of the answers.
     pub written: i64,
 }
 
@@ -36,63 +38,63 @@
     }
 }
 
-/// A tenant's use in a period: within its share, and beyond.
+/// What a tenant used in a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TenantUsage {
-    /// Within the share.
+    /// Requests within the tenant's quota.
     pub within: UsageTotal,
-    /// Beyond it.
+    /// Requests beyond it.
     pub beyond: UsageTotal,
 }
 
-/// What an auditor has to look at.
+/// An irregularity for an auditor to examine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase", tag = "finding")]
 pub enum Finding {
-    /// A ledger lacks these entries.
+    /// Entries are missing from a ledger.
     Gap {
         /// The router.
         router: String,
-        /// The first that is missing.
+        /// The number of the first missing entry.
         first: u64,
-        /// The last.
+        /// The number of the last missing entry.
         last: u64,
     },
-    /// Two different entries stand under one name; the total has one of them.
+    /// Different entries have the same id; one of them is counted.
     Conflict {
-        /// Their name.
+        /// Their id.
         name: EntryId,
     },
     /// A request was served more than once; it is billed once.
     Repeat {
-        /// The one that is billed.
+        /// The entry that is billed.
         billed: EntryId,
-        /// The one that is not.
+        /// An entry that is not billed.
         repeat: EntryId,
     },
-    /// An entry stands in a period that its ledger had closed.
+    /// An entry is counted in a period that its ledger had already closed.
     Closed {
         /// The entry.
         name: EntryId,
     },
-    /// A correction names an entry that is not there, or not billed.
+    /// A correction of an entry that is missing or not billed.
     Stray {
         /// The correction.
         name: EntryId,
     },
 }
 
-/// The account of all ledgers.
+/// The result of reconciling ledgers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reconciliation {
-    /// By period and tenant.
+    /// Usage by period and tenant.
     pub totals: BTreeMap<(u64, String), TenantUsage>,
-    /// In a settled order.
+    /// All findings, in an order that does not depend on that of the input.
     pub findings: Vec<Finding>,
 }
 
 impl MergedLedgers {
-    /// Adds a router's records, in their order or any part of them.
+    /// Adds records of a router's ledger: all or some, in any order.
     pub fn add(&mut self, router: &str, records: impl IntoIterator<Item = Record>) {
         for record in records {
             match record {
@@ -101,28 +103,28 @@
                     *closed = period.max(*closed);
                 }
                 Record::Entry(entry) => {
-                    self.put(EntryId { router: router.to_owned(), number: entry.number }, *entry)
+                    self.insert(EntryId { router: router.to_owned(), number: entry.number }, *entry)
                 }
             }
         }
     }
 
-    fn put(&mut self, name: EntryId, entry: Entry) {
-        let old = match self.entries.get(&name) {
-            Some(old) if *old != entry => old,
+    fn insert(&mut self, id: EntryId, entry: Entry) {
+        let existing = match self.entries.get(&id) {
+            Some(existing) if *existing != entry => existing,
             Some(_) => return,
-            None => return drop(self.entries.insert(name, entry)),
+            None => return drop(self.entries.insert(id, entry)),
         };
-        self.conflicts.insert(name.clone());
-        // Whichever came first: the same one stays.
-        if key(&entry) < key(old) {
-            self.entries.insert(name, entry);
+        self.conflicts.insert(id.clone());
+        // Keeps the same entry whichever is added first.
+        if conflict_key(&entry) < conflict_key(existing) {
+            self.entries.insert(id, entry);
         }
     }
 
-    /// Adds all of another.
+    /// Adds the entries of `other`.
     pub fn merge(&mut self, other: MergedLedgers) {
-        other.entries.into_iter().for_each(|(name, entry)| self.put(name, entry));
+        other.entries.into_iter().for_each(|(id, entry)| self.insert(id, entry));
         self.conflicts.extend(other.conflicts);
         for (router, period) in other.closed {
             let closed = self.closed.entry(router).or_insert(period);
@@ -130,93 +132,98 @@
         }
     }
 
-    /// The account, where repeats of an ask within `join_ms` of its first try are tries of one request.
+    /// Totals and findings. Requests with the same `ask` within `join_ms` of the first one are its retries.
     pub fn reconcile(&self, join_ms: u64) -> Reconciliation {
-        let mut account = Reconciliation::default();
+        let mut result = Reconciliation::default();
         let mut billed = HashMap::new();
-        let mut asks: BTreeMap<(&str, &str, u64), Vec<Try<'_>>> = BTreeMap::new();
-        for (name, entry) in self.entries.iter().filter(|(_, entry)| entry.corrects.is_none()) {
-            asks.entry((&entry.tenant, &entry.class, entry.ask)).or_default().push((name, entry));
+        let mut by_ask: BTreeMap<(&str, &str, u64), Vec<EntryRef<'_>>> = BTreeMap::new();
+        for (id, entry) in self.entries.iter().filter(|(_, entry)| entry.corrects.is_none()) {
+            by_ask.entry((&entry.tenant, &entry.class, entry.ask)).or_default().push((id, entry));
         }
-        for mut tries in asks.into_values() {
-            tries.sort_by_key(|(name, entry)| (entry.came_ms, *name));
-            let mut rest = tries.as_slice();
+        for mut requests in by_ask.into_values() {
+            requests.sort_by_key(|(id, entry)| (entry.came_ms, *id));
+            let mut rest = requests.as_slice();
             while let Some((_, first)) = rest.first() {
-                let same = rest.partition_point(|(_, entry)| entry.came_ms - first.came_ms <= join_ms);
-                let (tries, later) = rest.split_at(same);
+                let count = rest.partition_point(|(_, entry)| entry.came_ms - first.came_ms <= join_ms);
+                let (request, later) = rest.split_at(count);
                 rest = later;
-                account.bill(first, tries, &mut billed);
+                result.bill(first, request, &mut billed);
             }
         }
         let corrections =
-            self.entries.iter().filter_map(|(name, entry)| Some((name, entry, entry.corrects.as_ref()?)));
-        for (name, entry, of) in corrections {
-            match billed.get(of) {
+            self.entries.iter().filter_map(|(id, entry)| Some((id, entry, entry.corrects.as_ref()?)));
+        for (id, entry, corrected) in corrections {
+            match billed.get(corrected) {
                 Some((tenant, beyond)) => {
-                    let line = account.totals.entry((entry.period, String::clone(tenant))).or_default();
-                    if *beyond { line.beyond.add(entry.tokens) } else { line.within.add(entry.tokens) }
+                    let usage = result.totals.entry((entry.period, String::clone(tenant))).or_default();
+                    if *beyond { usage.beyond.add(entry.tokens) } else { usage.within.add(entry.tokens) }
                 }
-                None => account.findings.push(Finding::Stray { name: name.clone() }),
+                None => result.findings.push(Finding::Stray { name: id.clone() }),
             }
         }
-        account.findings.extend(self.gaps());
-        account.findings.extend(self.conflicts.iter().map(|name| Finding::Conflict { name: name.clone() }));
-        account.findings.sort_by_key(|finding| format!("{finding:?}"));
-        account
+        result.findings.extend(self.gaps());
+        result.findings.extend(self.conflicts.iter().map(|id| Finding::Conflict { name: id.clone() }));
+        result.findings.sort_by_key(|finding| format!("{finding:?}"));
+        result
     }
 
     fn gaps(&self) -> Vec<Finding> {
         let mut gaps = Vec::new();
-        let mut last: Option<&EntryId> = None;
-        for name in self.entries.keys() {
-            let before = last.filter(|last| last.router == name.router).map_or(0, |last| last.number);
-            if name.number > before + 1 {
-                let (first, last) = (before + 1, name.number - 1);
-                gaps.push(Finding::Gap { router: name.router.clone(), first, last });
+        let mut previous: Option<&EntryId> = None;
+        for id in self.entries.keys() {
+            let before = previous
+                .filter(|previous| previous.router == id.router)
+                .map_or(0, |previous| previous.number);
+            if id.number > before + 1 {
+                let (first, last) = (before + 1, id.number - 1);
+                gaps.push(Finding::Gap { router: id.router.clone(), first, last });
             }
-            last = Some(name);
+            previous = Some(id);
         }
         gaps
     }
 }
 
 impl Reconciliation {
-    /// Bills the tries of one request: the first served, else the first whose answer began, in the period and share
-    /// of the first try.
+    /// Bills one request, given as the entries of its first arrival and its retries: the entry that was served first,
+    /// else the one that ended first of those with tokens. It counts in the period of the first arrival, and within or
+    /// beyond the quota as that one did.
     fn bill<'a>(
         &mut self,
         first: &Entry,
-        tries: &[Try<'a>],
+        entries: &[EntryRef<'a>],
         billed: &mut HashMap<&'a EntryId, (&'a String, bool)>,
     ) {
-        let worth = |entry: &Entry| match entry.outcome {
+        let rank = |entry: &Entry| match entry.outcome {
             Outcome::Served => Some(0),
             _ if entry.tokens != Tokens::default() => Some(1),
             _ => None,
         };
         let ranked =
-            tries.iter().filter_map(|(name, entry)| Some((worth(entry)?, entry.ended_ms, *name, *entry)));
-        let Some((_, _, name, entry)) = ranked.min_by_key(|(worth, ended, name, _)| (*worth, *ended, *name))
+            entries.iter().filter_map(|(id, entry)| Some((rank(entry)?, entry.ended_ms, *id, *entry)));
+        let Some((_, _, billed_id, entry)) =
+            ranked.min_by_key(|(rank, ended_ms, id, _)| (*rank, *ended_ms, *id))
         else {
             return;
         };
-        let line = self.totals.entry((first.period, entry.tenant.clone())).or_default();
-        let sum = if first.beyond { &mut line.beyond } else { &mut line.within };
-        sum.requests += 1;
-        sum.inexact += u64::from(!entry.exact);
-        sum.add(entry.tokens);
-        billed.insert(name, (&entry.tenant, first.beyond));
-        let again = tries.iter().filter(|(other, entry)| *other != name && entry.outcome == Outcome::Served);
+        let usage = self.totals.entry((first.period, entry.tenant.clone())).or_default();
+        let total = if first.beyond { &mut usage.beyond } else { &mut usage.within };
+        total.requests += 1;
+        total.inexact += u64::from(!entry.exact);
+        total.add(entry.tokens);
+        billed.insert(billed_id, (&entry.tenant, first.beyond));
+        let repeats =
+            entries.iter().filter(|(id, entry)| *id != billed_id && entry.outcome == Outcome::Served);
         self.findings.extend(
-            again.map(|(repeat, _)| Finding::Repeat { billed: name.clone(), repeat: EntryId::clone(repeat) }),
+            repeats.map(|(id, _)| Finding::Repeat { billed: billed_id.clone(), repeat: EntryId::clone(id) }),
         );
     }
 }
 
-/// One try of a request.
-type Try<'a> = (&'a EntryId, &'a Entry);
+/// An entry with its id.
+type EntryRef<'a> = (&'a EntryId, &'a Entry);
 
-/// What orders different entries of one name.
-fn key(entry: &Entry) -> String {
+/// The sort key that selects one of several entries with the same id.
+fn conflict_key(entry: &Entry) -> String {
     format!("{entry:?}")
 }
