--- a/ledger/src/store.rs
+++ b/ledger/src/store.rs
@@ -1,8 +1,8 @@
-//! Records on a disk: segments that are only appended to, and read to the last whole record after a crash.
+//! An append-only log on disk, split into segments. After a crash it is read up to the last complete record.
 //!
-//! A record is its length and that length's CRC-32, its text's CRC-32, and the text, JSON. The first record of a
-//! segment is its head. A file that stops inside a record was torn there; bytes that cannot be a record, with others
-//! behind them, are damage and never skipped.
+//! A record is the length of its text, the CRC-32 of that length, the CRC-32 of the text, and the text in JSON. The
+//! first record of a segment is its head. A file that ends in an incomplete record, in zeros, or in a record with a
+//! wrong checksum is torn there, and that record is dropped. Other invalid bytes are damage: an error, never skipped.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -12,50 +12,51 @@
 use std::marker::PhantomData;
 use std::path::{Path, PathBuf};
 
-/// The form that this version writes, and the oldest that it reads.
-const FORM: u32 = 1;
-/// No record is longer.
-const LONGEST: u32 = 64 * 1024;
-const FRAME: usize = 12;
+/// The format version that is written, and the newest that can be read.
+const FORMAT_VERSION: u32 = 1;
+/// The maximum length of a record's text.
+const MAX_TEXT_BYTES: u32 = 64 * 1024;
+/// The length of the three numbers before a record's text.
+const HEADER_BYTES: usize = 12;
 
-/// Why a ledger cannot be read or written.
+/// Why a log cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The system says no.
+    /// An operating system error.
     #[error("{}: {error}", path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// What it says.
+        /// The cause.
         error: io::Error,
     },
-    /// Bytes that cannot be a record.
-    #[error("{}: damaged at byte {at}: {what}", path.display())]
+    /// Bytes that are not a valid record.
+    #[error("{}: damaged at byte {offset}: {reason}", path.display())]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where.
-        at: u64,
+        /// Where the damage begins.
+        offset: u64,
         /// What is wrong.
-        what: &'static str,
+        reason: &'static str,
     },
-    /// A file of another form or of another ledger.
-    #[error("{}: {what}", path.display())]
+    /// A file of an unknown format or of another log, or a missing segment.
+    #[error("{}: {reason}", path.display())]
     Mismatch {
         /// The file.
         path: PathBuf,
         /// What is wrong.
-        what: String,
+        reason: String,
     },
-    /// Another process writes there.
+    /// Another process has the log open for writing.
     #[error("{}: another process writes there", path.display())]
     Locked {
-        /// The file.
+        /// The lock file.
         path: PathBuf,
     },
 }
 
-/// What a segment begins with.
+/// The first record of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Head {
     fawnstream: String,
@@ -64,7 +65,8 @@
     segment: u64,
 }
 
-fn framed(text: &[u8]) -> Vec<u8> {
+/// A record as it is written: header and text.
+fn encode_record(text: &[u8]) -> Vec<u8> {
     let length = (text.len() as u32).to_be_bytes();
     let mut frame = length.to_vec();
     frame.extend_from_slice(&crc32fast::hash(&length).to_be_bytes());
@@ -73,124 +75,124 @@
     frame
 }
 
-/// Reads as many bytes as there are, up to the buffer's size.
-fn fill(from: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
-    let mut got = 0;
-    while got < buffer.len() {
-        match from.read(&mut buffer[got..]) {
+/// Fills the buffer, or as much of it as the input has bytes. Returns the number of bytes read.
+fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
             Ok(0) => break,
-            Ok(size) => got += size,
+            Ok(size) => filled += size,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
     }
-    Ok(got)
+    Ok(filled)
 }
 
-/// Whether nothing but zeros follows: some file systems leave them behind a crash.
-fn only_zeros(from: &mut impl Read) -> io::Result<bool> {
-    let mut piece = [0; 4096];
+/// Whether all remaining bytes are zero: some file systems leave such a tail after a crash.
+fn only_zeros(input: &mut impl Read) -> io::Result<bool> {
+    let mut buffer = [0; 4096];
     loop {
-        let size = fill(from, &mut piece)?;
-        if piece[..size].iter().any(|byte| *byte != 0) {
+        let size = read_up_to(input, &mut buffer)?;
+        if buffer[..size].iter().any(|byte| *byte != 0) {
             return Ok(false);
         }
-        if size < piece.len() {
+        if size < buffer.len() {
             return Ok(true);
         }
     }
 }
 
-/// What stands next in a segment.
+/// What was read from a segment.
 enum Next {
-    /// A record's text.
+    /// The text of a record.
     Text(Vec<u8>),
-    /// Nothing more.
+    /// The segment ends here.
     End,
-    /// A record that is not whole, and nothing behind it.
+    /// An incomplete record at the end of the segment.
     Torn,
 }
 
-/// One segment, as it is read.
-struct Segment {
+/// A segment that is being read.
+struct SegmentReader {
     path: PathBuf,
     file: BufReader<File>,
-    /// All before this byte is whole.
-    at: u64,
+    /// The end of the last complete record.
+    offset: u64,
+    /// From the segment's head; `None` until it is read.
     owner: Option<String>,
 }
 
-impl Segment {
+impl SegmentReader {
     fn open(path: &Path) -> Result<Self, StoreError> {
         let io = |error| StoreError::Io { path: path.to_owned(), error };
-        Ok(Segment {
+        Ok(SegmentReader {
             path: path.to_owned(),
             file: BufReader::new(File::open(path).map_err(io)?),
-            at: 0,
+            offset: 0,
             owner: None,
         })
     }
 
-    fn failed(&self, error: io::Error) -> StoreError {
+    fn io_error(&self, error: io::Error) -> StoreError {
         StoreError::Io { path: self.path.clone(), error }
     }
 
-    fn damaged(&self, what: &'static str) -> StoreError {
-        StoreError::Damaged { path: self.path.clone(), at: self.at, what }
+    fn damaged(&self, reason: &'static str) -> StoreError {
+        StoreError::Damaged { path: self.path.clone(), offset: self.offset, reason }
     }
 
-    fn next(&mut self) -> Result<Next, StoreError> {
-        let mut frame = [0; FRAME];
-        let size = fill(&mut self.file, &mut frame).map_err(|error| self.failed(error))?;
-        if size < FRAME {
+    fn next_text(&mut self) -> Result<Next, StoreError> {
+        let mut header = [0; HEADER_BYTES];
+        let size = read_up_to(&mut self.file, &mut header).map_err(|error| self.io_error(error))?;
+        if size < HEADER_BYTES {
             return Ok(if size == 0 { Next::End } else { Next::Torn });
         }
-        let part = |from: usize| {
-            u32::from_be_bytes([frame[from], frame[from + 1], frame[from + 2], frame[from + 3]])
-        };
-        let (length, check, sum) = (part(0), part(4), part(8));
-        if crc32fast::hash(&frame[..4]) != check || length > LONGEST || length == 0 {
-            let zeros = frame.iter().all(|byte| *byte == 0);
-            if zeros && only_zeros(&mut self.file).map_err(|error| self.failed(error))? {
+        let number_at =
+            |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+        let (length, length_checksum, text_checksum) = (number_at(0), number_at(4), number_at(8));
+        if crc32fast::hash(&header[..4]) != length_checksum || length > MAX_TEXT_BYTES || length == 0 {
+            let zeros = header.iter().all(|byte| *byte == 0);
+            if zeros && only_zeros(&mut self.file).map_err(|error| self.io_error(error))? {
                 return Ok(Next::Torn);
             }
-            return Err(self.damaged("no record's head"));
+            return Err(self.damaged("invalid record header"));
         }
         let mut text = vec![0; length as usize];
-        if fill(&mut self.file, &mut text).map_err(|error| self.failed(error))? < text.len() {
+        if read_up_to(&mut self.file, &mut text).map_err(|error| self.io_error(error))? < text.len() {
             return Ok(Next::Torn);
         }
-        if crc32fast::hash(&text) != sum {
-            // The last record's pages may have been written out of order; anything before it was synced.
-            if fill(&mut self.file, &mut [0]).map_err(|error| self.failed(error))? == 0 {
+        if crc32fast::hash(&text) != text_checksum {
+            // A crash may leave the pages of the last record written out of order; any record before it was synced.
+            if read_up_to(&mut self.file, &mut [0]).map_err(|error| self.io_error(error))? == 0 {
                 return Ok(Next::Torn);
             }
-            return Err(self.damaged("a record's sum is wrong"));
+            return Err(self.damaged("record checksum mismatch"));
         }
-        self.at += FRAME as u64 + u64::from(length);
+        self.offset += HEADER_BYTES as u64 + u64::from(length);
         Ok(Next::Text(text))
     }
 
-    /// Takes the text of the head, which is the first.
-    fn head(&mut self, kind: &str, text: &[u8]) -> Result<(), StoreError> {
-        let foreign = |what: String| StoreError::Mismatch { path: self.path.clone(), what };
-        let head: Head =
-            serde_json::from_slice(text).map_err(|error| foreign(format!("no head: {error}")))?;
-        if head.fawnstream != kind || head.form > FORM {
-            return Err(foreign(format!("holds {} in form {}", head.fawnstream, head.form)));
+    /// Checks the segment's head and takes the owner from it.
+    fn read_head(&mut self, kind: &str, text: &[u8]) -> Result<(), StoreError> {
+        let mismatch = |reason: String| StoreError::Mismatch { path: self.path.clone(), reason };
+        let head: Head = serde_json::from_slice(text)
+            .map_err(|error| mismatch(format!("invalid segment head: {error}")))?;
+        if head.fawnstream != kind || head.form > FORMAT_VERSION {
+            return Err(mismatch(format!("holds {} in format version {}", head.fawnstream, head.form)));
         }
         self.owner = Some(head.owner);
         Ok(())
     }
 
-    /// The next record; none at the end, which is torn or not.
-    fn record<T: DeserializeOwned>(&mut self, kind: &str) -> Result<Result<T, bool>, StoreError> {
+    /// The next record, or at the end `Err` with whether the end is torn.
+    fn next_record<T: DeserializeOwned>(&mut self, kind: &str) -> Result<Result<T, bool>, StoreError> {
         loop {
-            match self.next()? {
-                Next::Text(text) if self.owner.is_none() => self.head(kind, &text)?,
+            match self.next_text()? {
+                Next::Text(text) if self.owner.is_none() => self.read_head(kind, &text)?,
                 Next::Text(text) => {
                     let record = serde_json::from_slice(&text);
-                    return record.map(Ok).map_err(|_| self.damaged("a record makes no sense"));
+                    return record.map(Ok).map_err(|_| self.damaged("record has unexpected content"));
                 }
                 Next::End => return Ok(Err(false)),
                 Next::Torn => return Ok(Err(true)),
@@ -199,26 +201,27 @@
     }
 }
 
-/// Reads a folder's records one at a time, and on as they are written. Its end is no error: more may come.
+/// Reads the records of a log one at a time while it is being written. Reaching the end is not an error: records may
+/// follow.
 pub struct LogReader<T> {
     folder: PathBuf,
     kind: &'static str,
-    segment: Option<(u64, Segment)>,
+    segment: Option<(u64, SegmentReader)>,
     _of: PhantomData<T>,
 }
 
 impl<T: DeserializeOwned> LogReader<T> {
-    /// From the first record on.
+    /// Starts at the first record. `kind` is the file name prefix of the log.
     pub fn open(folder: &Path, kind: &'static str) -> Result<Self, StoreError> {
         Ok(LogReader { folder: folder.to_owned(), kind, segment: None, _of: PhantomData })
     }
 
-    /// The next record that was written whole; none if there is none yet.
+    /// The next complete record; `None` if there is none yet.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<T>, StoreError> {
         loop {
             let next = match &mut self.segment {
-                Some((number, segment)) => match segment.record(self.kind)? {
+                Some((number, segment)) => match segment.next_record(self.kind)? {
                     Ok(record) => return Ok(Some(record)),
                     Err(_) => *number + 1,
                 },
@@ -228,13 +231,13 @@
             if !path.exists() {
                 return Ok(None);
             }
-            self.segment = Some((next, Segment::open(&path)?));
+            self.segment = Some((next, SegmentReader::open(&path)?));
         }
     }
 }
 
-/// A ledger's segments in their order.
-fn segments(folder: &Path, kind: &str) -> Result<Vec<(u64, PathBuf)>, StoreError> {
+/// The segments of a log in order.
+fn list_segments(folder: &Path, kind: &str) -> Result<Vec<(u64, PathBuf)>, StoreError> {
     let io = |error| StoreError::Io { path: folder.to_owned(), error };
     let mut found = Vec::new();
     for file in std::fs::read_dir(folder).map_err(io)? {
@@ -247,108 +250,112 @@
     }
     found.sort();
     if let Some(pair) = found.windows(2).find(|pair| pair[1].0 != pair[0].0 + 1) {
-        let what = format!("segment {} is missing", pair[0].0 + 1);
-        return Err(StoreError::Mismatch { path: folder.to_owned(), what });
+        let reason = format!("segment {} is missing", pair[0].0 + 1);
+        return Err(StoreError::Mismatch { path: folder.to_owned(), reason });
     }
     Ok(found)
 }
 
-/// Reads all records of a folder, with bounded memory; gives their owner, and whether the end was torn.
+/// Reads all records of a log, one at a time. Returns its owner, empty if there is no log, and whether its end is torn.
 pub fn read_all<T: DeserializeOwned>(
     folder: &Path,
     kind: &str,
-    mut hear: impl FnMut(T),
+    mut on_record: impl FnMut(T),
 ) -> Result<(String, bool), StoreError> {
-    let all = segments(folder, kind)?;
+    let segments = list_segments(folder, kind)?;
     let (mut owner, mut torn) = (None, false);
-    for (place, (_, path)) in all.iter().enumerate() {
-        let mut segment = Segment::open(path)?;
-        let end = loop {
-            match segment.record(kind)? {
-                Ok(record) => hear(record),
-                Err(end) => break end,
+    for (index, (_, path)) in segments.iter().enumerate() {
+        let mut segment = SegmentReader::open(path)?;
+        let segment_torn = loop {
+            match segment.next_record(kind)? {
+                Ok(record) => on_record(record),
+                Err(torn) => break torn,
             }
         };
-        if end && place + 1 < all.len() {
-            return Err(segment.damaged("the file stops here, and is not the last"));
+        if segment_torn && index + 1 < segments.len() {
+            return Err(segment.damaged("incomplete record in a segment that is not the last"));
         }
-        torn |= end;
+        torn |= segment_torn;
         match (&owner, segment.owner) {
             (Some(owner), Some(other)) if *owner != other => {
-                let what = format!("belongs to {other}, the one before it to {owner}");
-                return Err(StoreError::Mismatch { path: path.clone(), what });
+                let reason = format!("belongs to {other}, but the previous segment belongs to {owner}");
+                return Err(StoreError::Mismatch { path: path.clone(), reason });
             }
-            (None, told) => owner = told,
+            (None, first) => owner = first,
             _ => {}
         }
     }
     Ok((owner.unwrap_or_default(), torn))
 }
 
-/// Up to where a segment is whole.
-fn good(path: &Path) -> Result<u64, StoreError> {
-    let mut segment = Segment::open(path)?;
-    while matches!(segment.next()?, Next::Text(_)) {}
-    Ok(segment.at)
+/// The end of the last complete record of a segment.
+fn complete_length(path: &Path) -> Result<u64, StoreError> {
+    let mut segment = SegmentReader::open(path)?;
+    while matches!(segment.next_text()?, Next::Text(_)) {}
+    Ok(segment.offset)
 }
 
-/// Records that are being written. Each is kept in memory until it is on the disk: a write or a sync that fails is made
-/// up for by the next [`LogWriter::sync`], behind the last whole record and in the same order.
+/// Appends records to a log. Each record stays in memory until it is synced to disk: after a failed write or sync the
+/// next [`LogWriter::sync`] writes the missing records again, in the same order, after the last complete one.
 pub struct LogWriter<T> {
     folder: PathBuf,
     kind: &'static str,
     owner: String,
+    /// The number of the segment that is being written.
     segment: u64,
     file: File,
-    /// Whole records end here in the file, and up to there they are on the disk.
+    /// The end of the last complete record in the file.
     size: u64,
+    /// The length of the file that is synced to disk.
     synced: u64,
-    /// Framed records that are not on the disk, and how many of them are in the file.
+    /// Encoded records that are not synced.
     unsynced: VecDeque<Vec<u8>>,
+    /// How many of `unsynced` are in the file.
     written: usize,
-    /// The last call failed: appending does not try again by itself.
+    /// The last call failed; `append` does not write again until a `sync` succeeds.
     failing: bool,
-    /// What stands behind `synced` is not known.
+    /// The content of the file after `synced` is unknown.
     uncertain: bool,
-    /// The folder has the file's name on the disk.
-    named: bool,
-    largest: u64,
+    /// The folder's entry for the file is synced.
+    folder_synced: bool,
+    max_segment_bytes: u64,
     path: PathBuf,
     _lock: File,
     _of: PhantomData<T>,
 }
 
 impl<T: Serialize + DeserializeOwned> LogWriter<T> {
-    /// Opens a folder for writing, alone: reads what is there, and cuts a torn end off. True if it did.
+    /// Opens a log for writing and locks it against other processes. Passes the existing records to `on_record`, and
+    /// cuts off a torn end; returns whether there was one.
     pub fn open(
         folder: &Path,
         kind: &'static str,
         owner: &str,
-        largest: u64,
-        mut hear: impl FnMut(T),
+        max_segment_bytes: u64,
+        mut on_record: impl FnMut(T),
     ) -> Result<(Self, bool), StoreError> {
         let io = |path: &Path| {
             let path = path.to_owned();
             move |error| StoreError::Io { path, error }
         };
         std::fs::create_dir_all(folder).map_err(io(folder))?;
-        let lock = folder.join(format!("{kind}.lock"));
-        let held = OpenOptions::new().create(true).append(true).open(&lock).map_err(io(&lock))?;
-        match held.try_lock() {
+        let lock_path = folder.join(format!("{kind}.lock"));
+        let lock = OpenOptions::new().create(true).append(true).open(&lock_path).map_err(io(&lock_path))?;
+        match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(StoreError::Locked { path: lock }),
-            Err(TryLockError::Error(error)) => return Err(StoreError::Io { path: lock, error }),
+            Err(TryLockError::WouldBlock) => return Err(StoreError::Locked { path: lock_path }),
+            Err(TryLockError::Error(error)) => return Err(StoreError::Io { path: lock_path, error }),
         }
-        let (told, torn) = read_all(folder, kind, &mut hear)?;
-        if !told.is_empty() && told != owner {
-            let what = format!("belongs to {told}, not to {owner}");
-            return Err(StoreError::Mismatch { path: folder.to_owned(), what });
+        let (existing_owner, torn) = read_all(folder, kind, &mut on_record)?;
+        if !existing_owner.is_empty() && existing_owner != owner {
+            let reason = format!("belongs to {existing_owner}, not to {owner}");
+            return Err(StoreError::Mismatch { path: folder.to_owned(), reason });
         }
         let (segment, path) =
-            segments(folder, kind)?.pop().unwrap_or_else(|| (1, segment_path(folder, kind, 1)));
+            list_segments(folder, kind)?.pop().unwrap_or_else(|| (1, segment_path(folder, kind, 1)));
         let file = OpenOptions::new().create(true).append(true).open(&path).map_err(io(&path))?;
         if torn {
-            file.set_len(good(&path)?).map_err(io(&path))?;
+            file.set_len(complete_length(&path)?).map_err(io(&path))?;
         }
         let size = file.metadata().map_err(io(&path))?.len();
         let (folder, owner) = (folder.to_owned(), owner.to_owned());
@@ -364,122 +371,121 @@
             written: 0,
             failing: false,
             uncertain: false,
-            named: false,
-            largest,
+            folder_synced: false,
+            max_segment_bytes,
             path,
-            _lock: held,
+            _lock: lock,
             _of: PhantomData,
         };
         if log.size == 0 {
-            log.head()?;
+            log.write_head()?;
         }
         log.sync()?;
         Ok((log, torn))
     }
 
-    /// Records that are not on the disk yet.
+    /// The number of records that are not synced to disk yet.
     pub fn unsynced(&self) -> usize {
         self.unsynced.len()
     }
 
-    /// Takes records on. They are on the disk after a [`LogWriter::sync`] that succeeds, and stay in memory until then; in the
-    /// file they are at once where that can be done, so that they outlive the process.
+    /// Appends records. They stay in memory until a [`LogWriter::sync`] succeeds. They are also written to the file at
+    /// once if possible, so that they survive a crash of the process.
     pub fn append(&mut self, records: &[T]) -> Result<(), StoreError> {
         for record in records {
-            let text = serde_json::to_vec(record).map_err(|error| self.failed(error.into()))?;
-            if text.len() > LONGEST as usize {
-                return Err(self.failed(io::ErrorKind::InvalidInput.into()));
+            let text = serde_json::to_vec(record).map_err(|error| self.io_error(error.into()))?;
+            if text.len() > MAX_TEXT_BYTES as usize {
+                return Err(self.io_error(io::ErrorKind::InvalidInput.into()));
             }
-            self.unsynced.push_back(framed(&text));
+            self.unsynced.push_back(encode_record(&text));
         }
         if !self.failing {
-            // What fails is tried again by the next sync, which tells.
-            self.failing = self.write_out().is_err();
+            // The next sync retries a failed write and reports the error.
+            self.failing = self.write_unwritten().is_err();
         }
         Ok(())
     }
 
-    /// Puts all that was appended on the disk. After an error a part of it is there, and the rest is kept for the next
+    /// Syncs all appended records to disk. After an error some of them are on disk, and the rest is kept for the next
     /// call.
     pub fn sync(&mut self) -> Result<(), StoreError> {
-        let wrote = self.write_out();
-        let done = if self.uncertain { wrote } else { self.sync_written().and(wrote) };
-        self.failing = done.is_err();
-        done
+        let write_result = self.write_unwritten();
+        let result = if self.uncertain { write_result } else { self.sync_written().and(write_result) };
+        self.failing = result.is_err();
+        result
     }
 
-    fn failed(&self, error: io::Error) -> StoreError {
+    fn io_error(&self, error: io::Error) -> StoreError {
         StoreError::Io { path: self.path.clone(), error }
     }
 
-    /// Writes what is not in the file yet.
-    fn write_out(&mut self) -> Result<(), StoreError> {
+    /// Writes the records that are not in the file yet, and begins new segments as needed.
+    fn write_unwritten(&mut self) -> Result<(), StoreError> {
         if self.uncertain {
-            self.rewind()?;
+            self.truncate_to_synced()?;
         }
         while self.written < self.unsynced.len() {
-            if self.size >= self.largest {
+            if self.size >= self.max_segment_bytes {
                 self.sync_written()?;
-                self.next_segment()?;
+                self.begin_segment()?;
             }
             if self.size == 0 {
-                self.head()?;
+                self.write_head()?;
             }
-            let Some(frame) = self.unsynced.get(self.written).cloned() else { break };
-            self.put(&frame)?;
+            let Some(record) = self.unsynced.get(self.written).cloned() else { break };
+            self.write(&record)?;
             self.written += 1;
         }
         Ok(())
     }
 
-    /// Goes back to what is on the disk for certain: after a sync that failed the system may have dropped the rest.
-    fn rewind(&mut self) -> Result<(), StoreError> {
-        self.file.set_len(self.synced).map_err(|error| self.failed(error))?;
+    /// Truncates the file to what is synced: after a failed sync the system may have lost the later writes.
+    fn truncate_to_synced(&mut self) -> Result<(), StoreError> {
+        self.file.set_len(self.synced).map_err(|error| self.io_error(error))?;
         (self.size, self.written, self.uncertain) = (self.synced, 0, false);
         Ok(())
     }
 
-    /// Writes one frame behind the last whole one; a part of it never stays.
-    fn put(&mut self, frame: &[u8]) -> Result<(), StoreError> {
-        if let Err(error) = self.file.write_all(frame) {
+    /// Writes a record after the last complete one. A partial write is cut off.
+    fn write(&mut self, record: &[u8]) -> Result<(), StoreError> {
+        if let Err(error) = self.file.write_all(record) {
             self.uncertain = self.file.set_len(self.size).is_err();
-            return Err(self.failed(error));
+            return Err(self.io_error(error));
         }
-        self.size += frame.len() as u64;
+        self.size += record.len() as u64;
         Ok(())
     }
 
-    /// The first record of a segment.
-    fn head(&mut self) -> Result<(), StoreError> {
+    fn write_head(&mut self) -> Result<(), StoreError> {
         let (fawnstream, owner) = (self.kind.to_owned(), self.owner.clone());
-        let head = Head { fawnstream, form: FORM, owner, segment: self.segment };
-        let text = serde_json::to_vec(&head).map_err(|error| self.failed(error.into()))?;
-        self.put(&framed(&text))
+        let head = Head { fawnstream, form: FORMAT_VERSION, owner, segment: self.segment };
+        let text = serde_json::to_vec(&head).map_err(|error| self.io_error(error.into()))?;
+        self.write(&encode_record(&text))
     }
 
-    /// Begins the next segment; the one before it is whole on the disk by then.
-    fn next_segment(&mut self) -> Result<(), StoreError> {
+    /// Begins the next segment. The previous one must be synced.
+    fn begin_segment(&mut self) -> Result<(), StoreError> {
         let path = segment_path(&self.folder, self.kind, self.segment + 1);
-        let failed = |error| StoreError::Io { path: path.clone(), error };
-        let file = OpenOptions::new().create(true).append(true).open(&path).map_err(failed)?;
-        // A try before this one may have left a part of its head.
-        file.set_len(0).map_err(failed)?;
+        let io = |error| StoreError::Io { path: path.clone(), error };
+        let file = OpenOptions::new().create(true).append(true).open(&path).map_err(io)?;
+        // An earlier failed attempt may have left part of the head.
+        file.set_len(0).map_err(io)?;
         (self.file, self.path) = (file, path);
-        (self.segment, self.size, self.synced, self.named) = (self.segment + 1, 0, 0, false);
+        (self.segment, self.size, self.synced, self.folder_synced) = (self.segment + 1, 0, 0, false);
         Ok(())
     }
 
-    /// Puts on the disk what is in the file.
+    /// Syncs what is written to the file.
     fn sync_written(&mut self) -> Result<(), StoreError> {
         if let Err(error) = self.file.sync_data() {
             self.uncertain = true;
-            return Err(self.failed(error));
+            return Err(self.io_error(error));
         }
-        if !self.named {
-            // The file's name is the folder's.
+        if !self.folder_synced {
+            // The file's name is stored in the folder.
             let folder = File::open(&self.folder).and_then(|folder| folder.sync_all());
-            folder.map_err(|error| self.failed(error))?;
-            self.named = true;
+            folder.map_err(|error| self.io_error(error))?;
+            self.folder_synced = true;
         }
         self.synced = self.size;
         self.unsynced.drain(..self.written);
