--- a/ledger/src/main.rs
+++ b/ledger/src/main.rs
@@ -1,4 +1,4 @@
-//! The ledgers' command line: checks ledgers, and reconciles those of several routers.
+//! Command line for usage ledgers: checks a ledger, reconciles those of several routers, and writes corrections.
 
 use clap::{Parser, Subcommand};
 use fawnstream_ledger::entry::{EntryId, Record, Tokens};
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The kind of files that a usage ledger is.
+/// The file name prefix of usage ledgers.
 const USAGE: &str = "usage";
 
 #[derive(Parser)]
@@ -21,43 +21,43 @@
 
 #[derive(Subcommand)]
 enum Call {
-    /// Reads a ledger whole and says what it holds
+    /// Reads a whole ledger and prints a summary
     Check {
-        /// Its folder
+        /// The ledger's folder
         folder: PathBuf,
     },
-    /// Puts the ledgers of several routers together: totals by period and tenant, and what to look at
+    /// Merges the ledgers of several routers: totals by period and tenant, and findings to examine
     Reconcile {
-        /// Their folders
+        /// The ledgers' folders
         #[arg(required = true)]
         folders: Vec<PathBuf>,
-        /// A repeat within so many seconds of the first try is a try of the same request
+        /// A repeated request within this many seconds of the first one is a retry of it
         #[arg(long, default_value_t = 60)]
         join_s: u64,
-        /// JSON, one line a total or finding
+        /// Print JSON, one line for each total or finding
         #[arg(long)]
         json: bool,
     },
-    /// Writes a correction of an entry into its ledger, in a period that is open now; its router must be stopped
+    /// Adds a correction of an entry to its ledger, in a period that is open now; its router must be stopped
     Correct {
-        /// Its folder
+        /// The ledger's folder
         folder: PathBuf,
-        /// The entry's number
+        /// The number of the entry to correct
         #[arg(long)]
         entry: u64,
-        /// Added to its prompt tokens
+        /// Prompt tokens to add; may be negative
         #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
         prompt: i64,
-        /// Added to its written tokens
+        /// Answer tokens to add; may be negative
         #[arg(long, default_value_t = 0, allow_negative_numbers = true)]
         written: i64,
-        /// Why
+        /// The reason for the correction
         #[arg(long)]
         reason: String,
-        /// A period's length in seconds, as the router has it
+        /// The length of a period in seconds, as configured for the router
         #[arg(long, default_value_t = 3600)]
         period_s: u64,
-        /// How long after its end a period closes
+        /// Seconds after the end of a period until it closes
         #[arg(long, default_value_t = 120)]
         grace_s: u64,
     },
@@ -67,18 +67,19 @@
 enum Failure {
     #[error(transparent)]
     Store(#[from] StoreError),
-    #[error("{}: no ledger is there", .0.display())]
+    #[error("{}: no ledger found", .0.display())]
     Empty(PathBuf),
-    #[error("two ledgers are {0}'s")]
-    Twice(String),
-    #[error("no entry has number {0}, or it is a correction")]
+    #[error("two of the ledgers belong to {0}")]
+    DuplicateOwner(String),
+    #[error("entry {0} does not exist or is itself a correction")]
     NoEntry(u64),
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
 
-fn ledger(folder: &Path, mut hear: impl FnMut(Record)) -> Result<(String, bool), Failure> {
-    let (owner, torn) = read_all(folder, USAGE, &mut hear)?;
+/// Reads a ledger; returns its owner, and whether its end was torn.
+fn read_ledger(folder: &Path, mut on_record: impl FnMut(Record)) -> Result<(String, bool), Failure> {
+    let (owner, torn) = read_all(folder, USAGE, &mut on_record)?;
     if owner.is_empty() {
         return Err(Failure::Empty(folder.to_owned()));
     }
@@ -87,7 +88,7 @@
 
 fn check(folder: &Path) -> Result<(), Failure> {
     let (mut entries, mut last, mut closed, mut gaps) = (0u64, 0, None, 0u64);
-    let (owner, torn) = ledger(folder, |record| match record {
+    let (owner, torn) = read_ledger(folder, |record| match record {
         Record::Entry(entry) => {
             entries += 1;
             gaps += u64::from(entry.number != last + 1);
@@ -100,26 +101,26 @@
     Ok(())
 }
 
-fn sum(name: &str, sum: &UsageTotal) -> String {
-    let UsageTotal { requests, inexact, prompt, kept, written } = sum;
+fn format_total(name: &str, total: &UsageTotal) -> String {
+    let UsageTotal { requests, inexact, prompt, kept, written } = total;
     format!(
         "{name}: {requests} requests ({inexact} inexact), {prompt} prompt ({kept} kept), {written} written"
     )
 }
 
-fn print(account: &Reconciliation, json: bool) -> Result<(), Failure> {
-    for ((period, tenant), line) in &account.totals {
+fn print(result: &Reconciliation, json: bool) -> Result<(), Failure> {
+    for ((period, tenant), usage) in &result.totals {
         if json {
-            println!("{}", serde_json::json!({"period": period, "tenant": tenant, "use": line}));
+            println!("{}", serde_json::json!({"period": period, "tenant": tenant, "use": usage}));
         } else {
             println!(
                 "period {period} {tenant}\n  {}\n  {}",
-                sum("within", &line.within),
-                sum("beyond", &line.beyond)
+                format_total("within", &usage.within),
+                format_total("beyond", &usage.beyond)
             );
         }
     }
-    for finding in &account.findings {
+    for finding in &result.findings {
         println!("{}", serde_json::to_string(finding)?);
     }
     Ok(())
@@ -129,9 +130,9 @@
     let (mut merged, mut owners) = (MergedLedgers::default(), Vec::new());
     for folder in folders {
         let mut records = Vec::new();
-        let (owner, _) = ledger(folder, |record| records.push(record))?;
+        let (owner, _) = read_ledger(folder, |record| records.push(record))?;
         if owners.contains(&owner) {
-            return Err(Failure::Twice(owner));
+            return Err(Failure::DuplicateOwner(owner));
         }
         merged.add(&owner, records);
         owners.push(owner);
@@ -145,30 +146,30 @@
         Call::Reconcile { folders, join_s, json } => reconcile(&folders, join_s, json),
         Call::Correct { folder, entry, prompt, written, reason, period_s, grace_s } => {
             let mut records: Vec<Record> = Vec::new();
-            let (owner, _) = ledger(&folder, |record| records.push(record))?;
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+            let (owner, _) = read_ledger(&folder, |record| records.push(record))?;
+            let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
             let (period_ms, grace_ms) = (period_s.saturating_mul(1_000), grace_s.saturating_mul(1_000));
-            let rules = RecorderConfig {
+            let config = RecorderConfig {
                 router: owner.clone(),
                 period_ms,
                 grace_ms,
                 join_ms: 0,
                 quotas: Default::default(),
             };
-            let mut book = Recorder::from_records(rules, now, records.iter());
-            let of = records.iter().find_map(|record| match record {
-                Record::Entry(known) if known.number == entry && known.corrects.is_none() => Some(known),
+            let mut recorder = Recorder::from_records(config, now_ms, records.iter());
+            let original = records.iter().find_map(|record| match record {
+                Record::Entry(found) if found.number == entry && found.corrects.is_none() => Some(found),
                 _ => None,
             });
-            let of = of.ok_or(Failure::NoEntry(entry))?;
+            let original = original.ok_or(Failure::NoEntry(entry))?;
             let tokens = Tokens { prompt, kept: 0, written };
-            let at = EntryId { router: owner.clone(), number: entry };
-            let correction = book.correct(of, at, tokens, &reason, now);
-            // The lock tells a running router from a stopped one.
+            let id = EntryId { router: owner.clone(), number: entry };
+            let correction = recorder.correct(original, id, tokens, &reason, now_ms);
+            // Opening the log takes its lock, which fails while the router runs.
             let (mut log, _) = LogWriter::<Record>::open(&folder, USAGE, &owner, u64::MAX, |_| {})?;
             log.append(std::slice::from_ref(&correction))?;
             log.sync()?;
-            println!("entry {} corrects {entry}", book.next_number() - 1);
+            println!("entry {} corrects {entry}", recorder.next_number() - 1);
             Ok(())
         }
     }
