--- a/losses/src/main.rs
+++ b/losses/src/main.rs
@@ -1,23 +1,23 @@
-//! `fawnstream-losses`: books on what routers lost, from their logs.
+//! `fawnstream-losses`: reports from router logs which requests were lost, and to which causes.
 
 use clap::Parser;
-use fawnstream_losses::{Book, Log, Sum};
+use fawnstream_losses::{LogParser, LossReport, Total};
 use std::fs::File;
 use std::io::{self, BufRead as _, BufReader, Write as _};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Books every request of routers' logs as served in time, or on the one cause that it was lost to.
+/// Classifies every request of router logs as served in time or lost to one cause
 #[derive(Parser)]
 #[command(name = "fawnstream-losses", version)]
 struct Arguments {
-    /// Logs, one for each router, or folders of them
+    /// Log files, one for each router, or folders of them
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// By class as well
+    /// Also print causes by class
     #[arg(long)]
     classes: bool,
-    /// As JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
@@ -26,92 +26,93 @@
 enum Failure {
     #[error("{path}: {error}")]
     File { path: PathBuf, error: io::Error },
-    #[error("no request in {0} logs")]
+    #[error("no requests in {0} log files")]
     Empty(usize),
     #[error("output: {0}")]
     Output(#[from] io::Error),
 }
 
-/// The files under a path.
-fn files(path: &Path, all: &mut Vec<PathBuf>) -> Result<(), Failure> {
+/// Adds the files under a path, in sorted order.
+fn collect_files(path: &Path, found: &mut Vec<PathBuf>) -> Result<(), Failure> {
     let failed = |error| Failure::File { path: path.to_owned(), error };
     if !path.is_dir() {
-        all.push(path.to_owned());
+        found.push(path.to_owned());
         return Ok(());
     }
-    let mut inside: Vec<PathBuf> = std::fs::read_dir(path)
+    let mut children: Vec<PathBuf> = std::fs::read_dir(path)
         .map_err(failed)?
         .map(|entry| entry.map(|entry| entry.path()))
         .collect::<Result<_, _>>()
         .map_err(failed)?;
-    inside.sort();
-    inside.iter().try_for_each(|path| files(path, all))
+    children.sort();
+    children.iter().try_for_each(|path| collect_files(path, found))
 }
 
-fn read(path: &Path) -> Result<Book, Failure> {
+fn read_log(path: &Path) -> Result<LossReport, Failure> {
     let failed = |error| Failure::File { path: path.to_owned(), error };
-    let (mut log, mut from) = (Log::default(), BufReader::new(File::open(path).map_err(failed)?));
+    let (mut parser, mut input) = (LogParser::default(), BufReader::new(File::open(path).map_err(failed)?));
     let mut line = Vec::new();
-    // A line need not be text: it is one of another program's then.
-    while from.read_until(b'\n', &mut line).map_err(failed)? > 0 {
-        log.line(String::from_utf8_lossy(&line).trim_end());
+    // Lines of other programs may not be UTF-8.
+    while input.read_until(b'\n', &mut line).map_err(failed)? > 0 {
+        parser.parse_line(String::from_utf8_lossy(&line).trim_end());
         line.clear();
     }
-    Ok(log.book())
+    Ok(parser.report())
 }
 
-fn rows(
+/// Writes a row for each cause, the largest worth first.
+fn write_causes(
     out: &mut impl io::Write,
-    asked: f64,
-    lost: &std::collections::BTreeMap<fawnstream_losses::Cause, Sum>,
+    asked_worth: f64,
+    lost: &std::collections::BTreeMap<fawnstream_losses::Cause, Total>,
 ) -> io::Result<()> {
     let mut rows: Vec<_> = lost.iter().collect();
     rows.sort_by(|a, b| b.1.worth.total_cmp(&a.1.worth));
-    for (cause, sum) in rows {
+    for (cause, total) in rows {
         let name = serde_json::to_value(cause).ok().and_then(|name| Some(name.as_str()?.to_owned()));
-        let part = 100.0 * sum.worth / asked.max(1e-9);
+        let percent = 100.0 * total.worth / asked_worth.max(1e-9);
         writeln!(
             out,
             "{:<28} {:>8} {:>10.1} {:>6.2}",
             name.unwrap_or_default(),
-            sum.requests,
-            sum.worth,
-            part
+            total.requests,
+            total.worth,
+            percent
         )?;
     }
     Ok(())
 }
 
-fn run(told: &Arguments) -> Result<(), Failure> {
-    let (mut paths, mut book) = (Vec::new(), Book::default());
-    told.logs.iter().try_for_each(|path| files(path, &mut paths))?;
+fn run(arguments: &Arguments) -> Result<(), Failure> {
+    let (mut paths, mut report) = (Vec::new(), LossReport::default());
+    arguments.logs.iter().try_for_each(|path| collect_files(path, &mut paths))?;
     for path in &paths {
-        book.merge(read(path)?);
+        report.merge(read_log(path)?);
     }
-    if book.asked.requests == 0 {
+    if report.asked.requests == 0 {
         return Err(Failure::Empty(paths.len()));
     }
     let mut out = io::stdout().lock();
-    if told.json {
-        serde_json::to_writer_pretty(&mut out, &book).map_err(io::Error::from)?;
+    if arguments.json {
+        serde_json::to_writer_pretty(&mut out, &report).map_err(io::Error::from)?;
         return Ok(writeln!(out)?);
     }
-    let asked = book.asked.worth;
+    let asked_worth = report.asked.worth;
     writeln!(out, "{:<28} {:>8} {:>10} {:>6}", "", "requests", "worth", "%")?;
-    writeln!(out, "{:<28} {:>8} {:>10.1} {:>6.2}", "asked", book.asked.requests, asked, 100.0)?;
-    let served = 100.0 * book.in_time.worth / asked.max(1e-9);
+    writeln!(out, "{:<28} {:>8} {:>10.1} {:>6.2}", "asked", report.asked.requests, asked_worth, 100.0)?;
+    let in_time_percent = 100.0 * report.in_time.worth / asked_worth.max(1e-9);
     writeln!(
         out,
         "{:<28} {:>8} {:>10.1} {:>6.2}",
-        "served in time", book.in_time.requests, book.in_time.worth, served
+        "served in time", report.in_time.requests, report.in_time.worth, in_time_percent
     )?;
-    rows(&mut out, asked, &book.lost)?;
-    for (class, lost) in book.lost_of.iter().filter(|_| told.classes) {
+    write_causes(&mut out, asked_worth, &report.lost)?;
+    for (class, lost) in report.lost_of.iter().filter(|_| arguments.classes) {
         writeln!(out, "\n{class}")?;
-        rows(&mut out, asked, lost)?;
+        write_causes(&mut out, asked_worth, lost)?;
     }
-    if book.unread > 0 {
-        writeln!(out, "\n{} lines could not be read", book.unread)?;
+    if report.unread > 0 {
+        writeln!(out, "\n{} lines could not be read", report.unread)?;
     }
     Ok(())
 }
@@ -119,7 +120,7 @@
 fn main() -> ExitCode {
     match run(&Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        // Who reads has read enough.
+        // The reader of the output closed it.
         Err(Failure::Output(error)) if error.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("fawnstream-losses: {failure}");
