--- a/faults/build.rs
+++ b/faults/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the preloaded library with the C compiler that the `cc` crate finds.
+//! Compiles the preloaded library with the C compiler found by the `cc` crate.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,11 +21,11 @@
     match command.arg(&out).status() {
         Ok(status) if status.success() => ExitCode::SUCCESS,
         Ok(status) => {
-            eprintln!("the preloaded library does not compile: {status}");
+            eprintln!("compiling the preloaded library failed: {status}");
             ExitCode::FAILURE
         }
         Err(error) => {
-            eprintln!("no C compiler: {error}");
+            eprintln!("cannot run the C compiler: {error}");
             ExitCode::FAILURE
         }
     }
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! Faults of the operating system for a started process: a preloaded library, written in C, makes system calls fail in
-//! ways that Linux documents and steps the wall clock, as long as a control page says so. The page is a small file that
-//! this crate writes and the library maps, so faults begin and end while the process runs.
+//! Injects operating system faults into a child process. A preloaded C library makes system calls fail in ways that
+//! Linux documents and steps the wall clock. It is controlled by a small file that this crate writes and the library
+//! maps, so faults can begin and end while the process runs.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -8,44 +8,44 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Words of the page that hold rates, and as many that count what was injected.
-const RATES: usize = 16;
-/// Where the wall clock's step stands, in bytes.
-const STEP_AT: u64 = RATES as u64 * 4;
-/// Where the counts stand, in bytes.
-const COUNTS_AT: u64 = STEP_AT + 8;
-/// The page's size, in bytes.
-const SIZE: u64 = COUNTS_AT + RATES as u64 * 4;
+/// The number of fault kinds that the control file has room for: a 32-bit rate and a 32-bit count each.
+const MAX_KINDS: usize = 16;
+/// The offset of the wall clock step in the control file, in bytes.
+const STEP_OFFSET: u64 = MAX_KINDS as u64 * 4;
+/// The offset of the counts of injected faults, in bytes.
+const COUNTS_OFFSET: u64 = STEP_OFFSET + 8;
+/// The size of the control file, in bytes.
+const CONTROL_FILE_BYTES: u64 = COUNTS_OFFSET + MAX_KINDS as u64 * 4;
 
-/// What can fail.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// `accept4`: the new connection's own errors, and those that pass.
+    /// `accept4`: errors of the new connection, and temporary ones.
     Accept = 0,
-    /// `connect`: no address, no route, refused, timed out.
+    /// `connect`: no local address, no route, refused, timed out.
     Connect = 1,
-    /// `socket`: a table or memory is full for a moment.
+    /// `socket`: the system's file table or memory is temporarily full.
     Socket = 2,
     /// `open` of a file under the folder: ENOSPC, EIO, ENFILE.
     Open = 3,
-    /// `write` to such a file: ENOSPC or EIO, at once or behind half of the bytes.
+    /// `write` to a file under the folder: ENOSPC or EIO, at once or after a partial write. Also `ftruncate`: EIO.
     Write = 4,
-    /// `fsync` and `fdatasync` of such a file: ENOSPC, EIO.
+    /// `fsync` and `fdatasync` of a file under the folder: ENOSPC, EIO.
     Sync = 5,
     /// `epoll_wait`: EINTR.
     Wait = 6,
-    /// Reads and writes of sockets that move fewer bytes than there are, followed by a fresh edge.
+    /// Short reads and writes of sockets, each followed by a new readiness event.
     Short = 7,
-    /// `accept4`: this process has no descriptor left (EMFILE).
+    /// `accept4`: the process is out of descriptors (EMFILE).
     Exhausted = 8,
 }
 
-/// The preloaded library.
+/// The path of the preloaded library.
 pub fn library_path() -> &'static Path {
     Path::new(concat!(env!("OUT_DIR"), "/libfaults.so"))
 }
 
-/// The control page of one process.
+/// The control file of one process.
 #[derive(Debug)]
 pub struct FaultControl {
     path: PathBuf,
@@ -53,14 +53,15 @@
 }
 
 impl FaultControl {
-    /// A page that changes nothing yet.
+    /// Creates a control file without faults.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).truncate(true).read(true).write(true).open(path)?;
-        file.set_len(SIZE)?;
+        file.set_len(CONTROL_FILE_BYTES)?;
         Ok(FaultControl { path: path.to_owned(), file })
     }
 
-    /// Makes a command start under this page. `folder` is where files fail; chance comes from `seed`.
+    /// Makes a command load the library with this control file. File faults apply to files under `folder`; `seed`
+    /// determines the random choices.
     pub fn preload(&self, command: &mut Command, seed: u64, folder: Option<&Path>) {
         command.env("LD_PRELOAD", library_path()).env("FAULTS_CONTROL", &self.path);
         command.env("FAULTS_SEED", seed.to_string());
@@ -69,25 +70,25 @@
         }
     }
 
-    /// From now on so many of a thousand calls fail.
-    pub fn set_rate(&self, call: FaultKind, per_mille: u32) -> io::Result<()> {
-        self.file.write_all_at(&per_mille.to_ne_bytes(), call as u64 * 4)
+    /// Sets how many calls out of a thousand fail.
+    pub fn set_rate(&self, kind: FaultKind, per_mille: u32) -> io::Result<()> {
+        self.file.write_all_at(&per_mille.to_ne_bytes(), kind as u64 * 4)
     }
 
-    /// From now on the wall clock is so many milliseconds ahead of the machine's; behind it where negative.
+    /// Sets how far the wall clock is ahead of the machine's; behind it if negative.
     pub fn step_wall_clock(&self, ms: i64) -> io::Result<()> {
-        self.file.write_all_at(&ms.to_ne_bytes(), STEP_AT)
+        self.file.write_all_at(&ms.to_ne_bytes(), STEP_OFFSET)
     }
 
-    /// How many calls have failed so far.
-    pub fn injected_count(&self, call: FaultKind) -> io::Result<u32> {
+    /// How many faults of this kind were injected so far.
+    pub fn injected_count(&self, kind: FaultKind) -> io::Result<u32> {
         let mut count = [0; 4];
-        self.file.read_exact_at(&mut count, COUNTS_AT + call as u64 * 4)?;
+        self.file.read_exact_at(&mut count, COUNTS_OFFSET + kind as u64 * 4)?;
         Ok(u32::from_ne_bytes(count))
     }
 
-    /// All calls work again, and the wall clock is the machine's.
+    /// Ends all faults and resets the wall clock to the machine's.
     pub fn clear(&self) -> io::Result<()> {
-        self.file.write_all_at(&[0; COUNTS_AT as usize], 0)
+        self.file.write_all_at(&[0; COUNTS_OFFSET as usize], 0)
     }
 }
