--- a/fleet/src/cells.rs
+++ b/fleet/src/cells.rs
@@ -5,16 +5,16 @@
 use std::collections::BTreeMap;
 
 /// Bounds of a reader's weight as a home: readers can do more than the writers, but not at will.
-const LEAST_HOME: f64 = 0.6;
-const MOST_HOME: f64 = 1.3;
+const MIN_READER_WEIGHT: f64 = 0.6;
+const MAX_READER_WEIGHT: f64 = 1.3;
 
 /// What is known of one cell.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
     /// The weight of its readers as homes, from the writers that stand beside them.
-    pub weight: f64,
+    pub reader_weight: f64,
     /// What its readers send against what its writers take, 1 on the mean of all cells.
-    pub crowd: f64,
+    pub relative_load: f64,
 }
 
 /// All cells of these servers: each one's cell, and whether it reads or writes; others count for nothing here.
@@ -30,9 +30,12 @@
     let counts: BTreeMap<u64, [f64; 2]> = counts.into_iter().collect();
     let sum = |place: usize| counts.values().map(|count| count[place]).sum::<f64>().max(1.0);
     let mean = sum(1) / sum(0);
-    let weight = |c: &[f64; 2]| (c[1] / c[0].max(1.0) / mean).clamp(LEAST_HOME, MOST_HOME);
+    let weight = |c: &[f64; 2]| (c[1] / c[0].max(1.0) / mean).clamp(MIN_READER_WEIGHT, MAX_READER_WEIGHT);
     let sent = counts.values().map(|c| c[0] * weight(c)).sum::<f64>().max(1e-9) / sum(1);
-    let cell = |c: &[f64; 2]| Cell { weight: weight(c), crowd: c[0] * weight(c) / sent / c[1].max(1e-9) };
+    let cell = |c: &[f64; 2]| Cell {
+        reader_weight: weight(c),
+        relative_load: c[0] * weight(c) / sent / c[1].max(1e-9),
+    };
     counts.iter().map(|(id, c)| (*id, cell(c))).collect()
 }
 
@@ -44,11 +47,11 @@
     fn readers_beside_more_writers_are_homes_more_often_and_crowds_are_relative() {
         let fleet = [(1, true), (1, false), (1, false), (2, true), (2, true), (2, false)];
         let all = cells(fleet.iter().map(|(cell, reads)| (*cell, Some(*reads))));
-        assert_eq!(all[&1].weight, MOST_HOME);
-        assert_eq!(all[&2].weight, LEAST_HOME);
-        assert!(all[&1].crowd < 1.0 && all[&2].crowd > 1.0);
+        assert_eq!(all[&1].reader_weight, MAX_READER_WEIGHT);
+        assert_eq!(all[&2].reader_weight, MIN_READER_WEIGHT);
+        assert!(all[&1].relative_load < 1.0 && all[&2].relative_load > 1.0);
         assert!(cells(std::iter::empty()).is_empty());
         let even = cells([(1, Some(true)), (1, Some(false)), (2, Some(true)), (2, Some(false))].into_iter());
-        assert!(even.values().all(|cell| *cell == Cell { weight: 1.0, crowd: 1.0 }));
+        assert!(even.values().all(|cell| *cell == Cell { reader_weight: 1.0, relative_load: 1.0 }));
     }
 }
--- a/fleet/src/calls.rs
+++ b/fleet/src/discovery_calls.rs
@@ -8,125 +8,125 @@
 use std::time::Duration;
 
 /// Routers that are refused ask so far apart, all together: 10 calls a second, whatever their number.
-pub const APART: Duration = Duration::from_millis(100);
+pub const CALL_INTERVAL: Duration = Duration::from_millis(100);
 /// First calls, all at once after a release, are this far apart in place of that: most fleets' discovery takes them.
-pub const FIRST_APART: Duration = Duration::from_millis(30);
+pub const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(30);
 /// A router that asks later hears later, and a drain that it would have heard of counts as told: first calls are spread
 /// over less than the 500 ms that the rule on drains leaves.
-pub const MOST_FIRST: Duration = Duration::from_millis(400);
+pub const MAX_FIRST_DELAY: Duration = Duration::from_millis(400);
 /// However a call failed, a change counts as told so long after discovery had it and could be reached.
-pub const TOLD: Duration = Duration::from_secs(6);
-/// A call that succeeds is answered in this time where discovery can take a call of each router within [`MOST_APART`]:
+pub const NEWS_DEADLINE: Duration = Duration::from_secs(6);
+/// A call that succeeds is answered in this time where discovery can take a call of each router within [`MAX_CALL_INTERVAL`]:
 /// then hardly any wait in turn.
-pub const ANSWERED: Duration = Duration::from_millis(1_200);
+pub const ANSWER_TIME: Duration = Duration::from_millis(1_200);
 /// So the next call begins this long after a failed one began, at the latest and however many routers there are: a
-/// change that the failed one just missed is heard of within [`TOLD`].
-pub const MOST_APART: Duration = Duration::from_millis(4_500);
+/// change that the failed one just missed is heard of within [`NEWS_DEADLINE`].
+pub const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4_500);
 /// Wait after a call that cost discovery nothing: nobody was there. Doubles up to the longest.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// A lone router that is refused still leaves discovery this long.
-const LONGEST_REFUSED: Duration = Duration::from_millis(3_000);
+const MAX_REFUSED_BACKOFF: Duration = Duration::from_millis(3_000);
 
 /// An empty line comes every 2 s while discovery is well. After so long without one the watch has fallen silent, as a
-/// connection that died does, and is opened anew: what it misses counts as told [`TOLD`] after that.
-pub const SILENCE: Duration = Duration::from_millis(2_600);
+/// connection that died does, and is opened anew: what it misses counts as told [`NEWS_DEADLINE`] after that.
+pub const WATCH_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// How long a call may take, and how long is waited before the next one.
 #[derive(Clone, Copy, Debug)]
-pub enum Manner {
+pub enum ListSource {
     /// The list is pushed to an agent on this machine, which answers at once and at no cost: a call that hangs is
     /// broken, and another one follows soon. What the agent has counts as told, also right after an outage.
-    Pushed,
+    LocalAgent,
     /// Discovery serves many routers, and calls wait in turn: one given up early has cost its turn, and the next one
     /// waits behind it. Calls keep to a rate that holds for all routers.
-    Asked,
+    SharedService,
 }
 
-impl Manner {
+impl ListSource {
     /// The answer's head comes in this time.
-    pub fn head(self) -> Duration {
+    pub fn head_timeout(self) -> Duration {
         match self {
-            Manner::Pushed => Duration::from_millis(900),
-            Manner::Asked => Duration::from_millis(3_600),
+            ListSource::LocalAgent => Duration::from_millis(900),
+            ListSource::SharedService => Duration::from_millis(3_600),
         }
     }
 
     /// A connection is up in this time; asking again costs nothing there.
-    pub fn connect(self) -> Duration {
-        self.head().min(Duration::from_millis(1_500))
+    pub fn connect_timeout(self) -> Duration {
+        self.head_timeout().min(Duration::from_millis(1_500))
     }
 
-    /// The wait before the next call, of the one that [`Calls`] say. One that breaks off each time is not called in a
+    /// The wait before the next call, of the one that [`CallPacer`] say. One that breaks off each time is not called in a
     /// loop; a drained server gets new work for less than 500 ms all the same.
-    pub fn wait(self, told: Duration) -> Duration {
+    pub fn cap_delay(self, told: Duration) -> Duration {
         match self {
-            Manner::Pushed => told.min(Duration::from_millis(150)),
-            Manner::Asked => told,
+            ListSource::LocalAgent => told.min(Duration::from_millis(150)),
+            ListSource::SharedService => told,
         }
     }
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum CallEnd {
     /// It brought news or a sign of life; what broke off was a watch that had stood.
-    Stood,
+    WatchEnded,
     /// Discovery has too many to serve: it said so, or took the call and never told anything.
     Refused,
     /// Nobody was there, or what came was no answer.
-    Away,
+    Unavailable,
 }
 
 /// The waits of one router between its calls.
 #[derive(Debug)]
-pub struct Calls {
+pub struct CallPacer {
     routers: u32,
     chance: Pcg64Mcg,
     wait: Duration,
     refused: bool,
 }
 
-impl Calls {
+impl CallPacer {
     /// One router of so many; `seed` is its only source of chance.
     pub fn new(routers: u32, seed: u64) -> Self {
-        Calls {
+        CallPacer {
             routers: routers.max(1),
             chance: Pcg64Mcg::seed_from_u64(seed),
-            wait: FIRST_WAIT,
+            wait: MIN_BACKOFF,
             refused: false,
         }
     }
 
     /// Before the first call: routers that were started together do not call together. The list that a router is
     /// started with serves meanwhile.
-    pub fn first(&mut self) -> Duration {
-        let all = (FIRST_APART * self.routers).min(MOST_FIRST);
+    pub fn first_delay(&mut self) -> Duration {
+        let all = (FIRST_CALL_INTERVAL * self.routers).min(MAX_FIRST_DELAY);
         all.mul_f64(self.chance.random())
     }
 
     /// Before the next call, after one that ended so and took so long.
-    pub fn next(&mut self, ended: Call, took: Duration) -> Duration {
+    pub fn next_delay(&mut self, ended: CallEnd, took: Duration) -> Duration {
         // Waits after a refusal last for as long as all routers need for a call each at the rate that holds for all, as
         // far as there is time for that.
-        let all = APART * self.routers;
-        let before = std::mem::replace(&mut self.refused, ended == Call::Refused);
+        let all = CALL_INTERVAL * self.routers;
+        let before = std::mem::replace(&mut self.refused, ended == CallEnd::Refused);
         self.wait = match ended {
-            Call::Stood => FIRST_WAIT,
-            Call::Away => (self.wait * 2).min(LONGEST_WAIT),
-            Call::Refused if before => (self.wait * 2).min(LONGEST_REFUSED.max(all)),
-            Call::Refused => (self.wait * 2).min(LONGEST_REFUSED).max(all / 2),
+            CallEnd::WatchEnded => MIN_BACKOFF,
+            CallEnd::Unavailable => (self.wait * 2).min(MAX_BACKOFF),
+            CallEnd::Refused if before => (self.wait * 2).min(MAX_REFUSED_BACKOFF.max(all)),
+            CallEnd::Refused => (self.wait * 2).min(MAX_REFUSED_BACKOFF).max(all / 2),
         };
         match ended {
             // A watch that stood may have ended for all routers at once.
-            Call::Stood => self.wait + self.first(),
-            _ => self.spread(self.wait.min(MOST_APART.saturating_sub(took)).max(FIRST_WAIT)),
+            CallEnd::WatchEnded => self.wait + self.first_delay(),
+            _ => self.spread(self.wait.min(MAX_CALL_INTERVAL.saturating_sub(took)).max(MIN_BACKOFF)),
         }
     }
 
     /// Discovery has another address: it is called at once, and refusals of the old one say nothing of it.
-    pub fn moved(&mut self) {
-        (self.wait, self.refused) = (FIRST_WAIT, false);
+    pub fn reset(&mut self) {
+        (self.wait, self.refused) = (MIN_BACKOFF, false);
     }
 
     /// Half to all of the wait.
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -3,29 +3,29 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod adaptive_limit;
 pub mod best;
-pub mod calls;
 pub mod cells;
-pub mod chance;
-pub mod cold;
-pub mod fault;
-pub mod homes;
-pub mod kept;
-pub mod limit;
-pub mod patience;
-pub mod popular;
+pub mod discovery_calls;
+pub mod fault_score;
+pub mod load_report;
+pub mod math;
+pub mod popularity;
+pub mod prefix_cache;
 pub mod quota;
-pub mod reach;
+pub mod reachability;
+pub mod rendezvous;
+pub mod slow_start;
 pub mod start_times;
-pub mod told;
+pub mod timeout;
 
+pub use adaptive_limit::AdaptiveLimit;
 pub use best::best;
 pub use cells::{Cell, cells};
-pub use cold::{Allowance, Cold, Purse};
-pub use fault::Fault;
-pub use homes::homes;
-pub use kept::Kept;
-pub use limit::Limit;
-pub use popular::Popular;
+pub use fault_score::FaultScore;
+pub use load_report::LoadReport;
+pub use popularity::Popularity;
+pub use prefix_cache::PrefixCache;
 pub use quota::Quota;
-pub use told::Told;
+pub use rendezvous::rendezvous;
+pub use slow_start::{ColdBucket, ServerAllowance, SlowStart};
--- a/fleet/src/popular.rs
+++ b/fleet/src/popularity.rs
@@ -16,7 +16,7 @@
 /// Counts by key. Holds `most` keys at most; a full table takes no new ones, so that keys that clients make up cannot
 /// make it grow. Faded keys are swept once a span at most, so a note costs no walk over all that is held.
 #[derive(Clone, Debug)]
-pub struct Popular {
+pub struct Popularity {
     keys: BTreeMap<u64, (f64, f64)>,
     all: (f64, f64),
     /// Pairs of requests, and of these the ones of one key: both fade as a pair does.
@@ -27,15 +27,15 @@
     sweep_at: f64,
 }
 
-impl Popular {
+impl Popularity {
     /// Counts that lose half their weight in so many seconds, for so many keys at most.
     pub fn new(half: f64, most: usize) -> Self {
         let none = (0.0, 0.0);
-        Popular { keys: BTreeMap::new(), all: none, pairs: none, alike: none, half, most, sweep_at: 0.0 }
+        Popularity { keys: BTreeMap::new(), all: none, pairs: none, alike: none, half, most, sweep_at: 0.0 }
     }
 
     /// A request came, at a time in seconds.
-    pub fn note(&mut self, now: f64, key: Option<u64>) {
+    pub fn record(&mut self, now: f64, key: Option<u64>) {
         let half = self.half;
         let add = |count: &mut (f64, f64), more: f64, half: f64| {
             let before = faded(*count, now, half);
@@ -59,30 +59,30 @@
     }
 
     /// Requests a second of late; `since` a time in seconds at which none had come yet.
-    pub fn rate(&self, now: f64, since: f64) -> f64 {
+    pub fn request_rate(&self, now: f64, since: f64) -> f64 {
         let seen = 1.0 - 0.5f64.powf((now - since).max(1.0) / self.half);
         faded(self.all, now, self.half) * std::f64::consts::LN_2 / self.half / seen
     }
 
     /// The part that had this key, from 0 to 1; the first few say little.
-    pub fn part(&self, now: f64, key: u64) -> f64 {
+    pub fn share(&self, now: f64, key: u64) -> f64 {
         let count = |count: &(f64, f64)| faded(*count, now, self.half);
         self.keys.get(&key).map_or(0.0, count) / (count(&self.all) + FEW)
     }
 
     /// The part of all routers' requests that is likely to have this key, from 0 to 1.
-    pub fn likely(&self, now: f64, key: u64) -> f64 {
-        self.part_of_all(now, key, 1.0, FEW * FEW / 2.0)
+    pub fn likely_share(&self, now: f64, key: u64) -> f64 {
+        self.overall_share(now, key, 1.0, FEW * FEW / 2.0)
     }
 
     /// The same for a router that must not take a popular beginning for a seldom one: while it has seen hardly any pair
     /// of requests, every beginning counts as popular.
-    pub fn cautious(&self, now: f64, key: u64) -> f64 {
-        self.part_of_all(now, key, CAUTIOUS_ALIKE, CAUTIOUS_PAIRS)
+    pub fn cautious_share(&self, now: f64, key: u64) -> f64 {
+        self.overall_share(now, key, CAUTIOUS_ALIKE, CAUTIOUS_PAIRS)
     }
 
     /// As if of so many pairs of requests that came before so many had begun alike.
-    fn part_of_all(&self, now: f64, key: u64, alike: f64, pairs: f64) -> f64 {
+    fn overall_share(&self, now: f64, key: u64, alike: f64, pairs: f64) -> f64 {
         let alike = faded(self.alike, now, self.half / 2.0) + alike;
         let mean = alike / (faded(self.pairs, now, self.half / 2.0) + pairs);
         // One of them is the request that is asked for.
@@ -102,42 +102,42 @@
 
     #[test]
     fn a_part_is_learnt_fades_and_stays_within_its_bound() {
-        let mut popular = Popular::new(20.0, 100);
-        (0..200u32).for_each(|n| popular.note(f64::from(n) * 0.1, Some(u64::from(n) % 4)));
-        assert!((popular.part(20.0, 1) - 0.25).abs() < 0.03);
-        let before = popular.part(20.0, 1);
-        (0..200u32).for_each(|n| popular.note(20.0 + f64::from(n) * 0.1, None));
-        assert!(popular.part(40.0, 1) < before / 2.0);
-        (0..10_000u64).for_each(|key| popular.note(40.0, Some(1_000 + key)));
+        let mut popular = Popularity::new(20.0, 100);
+        (0..200u32).for_each(|n| popular.record(f64::from(n) * 0.1, Some(u64::from(n) % 4)));
+        assert!((popular.share(20.0, 1) - 0.25).abs() < 0.03);
+        let before = popular.share(20.0, 1);
+        (0..200u32).for_each(|n| popular.record(20.0 + f64::from(n) * 0.1, None));
+        assert!(popular.share(40.0, 1) < before / 2.0);
+        (0..10_000u64).for_each(|key| popular.record(40.0, Some(1_000 + key)));
         assert!(popular.keys.len() <= 100);
-        popular.note(70.0, Some(1));
+        popular.record(70.0, Some(1));
         assert_eq!(popular.keys.len(), 1, "faded keys are swept");
     }
 
     #[test]
     fn the_rate_is_known_soon_and_follows() {
-        let mut popular = Popular::new(20.0, 100);
-        (0..50u32).for_each(|n| popular.note(100.0 + f64::from(n) * 0.1, None));
-        assert!((8.0..12.0).contains(&popular.rate(105.0, 100.0)));
-        (0..1_000u32).for_each(|n| popular.note(105.0 + f64::from(n) * 0.1, Some(1)));
-        assert!((9.0..11.0).contains(&popular.rate(205.0, 100.0)));
-        assert!(popular.rate(265.0, 100.0) < 2.0);
+        let mut popular = Popularity::new(20.0, 100);
+        (0..50u32).for_each(|n| popular.record(100.0 + f64::from(n) * 0.1, None));
+        assert!((8.0..12.0).contains(&popular.request_rate(105.0, 100.0)));
+        (0..1_000u32).for_each(|n| popular.record(105.0 + f64::from(n) * 0.1, Some(1)));
+        assert!((9.0..11.0).contains(&popular.request_rate(205.0, 100.0)));
+        assert!(popular.request_rate(265.0, 100.0) < 2.0);
     }
 
     /// Routers with three requests a second each, of 60 beginnings and of 3,000 that are all asked for alike.
     #[test]
     fn a_beginning_seen_once_or_twice_is_believed_to_be_like_the_others() {
         for (keys, seed) in [(60u64, 1u64), (60, 2), (3_000, 3), (3_000, 4)] {
-            let mut popular = Popular::new(20.0, 4_096);
+            let mut popular = Popularity::new(20.0, 4_096);
             (0..300u32).for_each(|n| {
-                popular.note(f64::from(n) / 3.0, Some(crate::chance::mix(seed << 32 | u64::from(n)) % keys));
+                popular.record(f64::from(n) / 3.0, Some(crate::math::mix(seed << 32 | u64::from(n)) % keys));
             });
-            popular.note(100.0, Some(7));
-            let times = popular.likely(100.0, 7) * keys as f64;
+            popular.record(100.0, Some(7));
+            let times = popular.likely_share(100.0, 7) * keys as f64;
             assert!((0.2..5.0).contains(&times), "{times} of what it is, with {keys}");
         }
-        let mut hot = Popular::new(20.0, 4_096);
-        (0..300u32).for_each(|n| hot.note(f64::from(n) / 3.0, Some(u64::from(n) % 2 * u64::from(n))));
-        assert!((0.3..0.7).contains(&hot.likely(100.0, 0)), "what is seen often is believed");
+        let mut hot = Popularity::new(20.0, 4_096);
+        (0..300u32).for_each(|n| hot.record(f64::from(n) / 3.0, Some(u64::from(n) % 2 * u64::from(n))));
+        assert!((0.3..0.7).contains(&hot.likely_share(100.0, 0)), "what is seen often is believed");
     }
 }
--- a/fleet/src/reach.rs
+++ b/fleet/src/reachability.rs
@@ -1,7 +1,7 @@
 //! Which servers one router can reach, as far as it knows from its own few connections: what failed or answered there,
 //! and in the same zone, of late. Zones are cut off whole, and a router meets most servers of one seldom.
 
-use crate::chance::mix;
+use crate::math::mix;
 use fnv::FnvHashMap;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -51,11 +51,11 @@
 
 /// What became of a try to reach a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum Contact {
     /// It answered something.
     Answered,
     /// Its connection was reset, or what came before could not be read: it is in reach, and its process may stand still now.
-    InReach,
+    Reachable,
     /// Its machine refused the connection, as one does whose process has ended.
     Refused,
     /// It took a request and said nothing in time: it hangs, or is cut off, or has a long line.
@@ -66,7 +66,7 @@
 
 /// What is believed of all servers. Bounded by the list: who leaves it is forgotten.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     servers: Vec<Server>,
     places: FnvHashMap<u64, usize>,
     zones: BTreeMap<usize, Count>,
@@ -75,27 +75,27 @@
     last: Option<Duration>,
 }
 
-impl Reach {
+impl Reachability {
     /// What the list says of a server: whether it takes new work, and when it started. What was thought of the process
     /// before that is void.
-    pub fn list(&mut self, id: u64, zone: usize, active: bool, start: u64) {
+    pub fn update(&mut self, id: u64, zone: usize, active: bool, start: u64) {
         let old = self.places.get(&id).is_some_and(|place| self.servers[*place].start < start);
         if old || !active {
-            self.leave(id);
+            self.remove(id);
         }
         if active {
-            self.join(id, zone);
+            self.add(id, zone);
             self.servers[self.places[&id]].start = start;
         }
     }
 
     /// A server is listed. One that is known already stays as it is, but for its zone.
-    pub fn join(&mut self, id: u64, zone: usize) {
+    pub fn add(&mut self, id: u64, zone: usize) {
         match self.places.get(&id) {
             Some(place) => {
                 let old = std::mem::replace(&mut self.servers[*place].zone, zone);
                 self.zones.entry(zone).or_default().servers += 1;
-                self.leave_zone(old);
+                self.remove_from_zone(old);
             }
             None => {
                 self.zones.entry(zone).or_default().servers += 1;
@@ -106,17 +106,17 @@
     }
 
     /// A server is listed no more, or takes nothing new.
-    pub fn leave(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         let Some(place) = self.places.remove(&id) else { return };
         let zone = self.servers.swap_remove(place).zone;
-        self.leave_zone(zone);
+        self.remove_from_zone(zone);
         if let Some(moved) = self.servers.get(place) {
             self.places.insert(moved.id, place);
         }
         self.recent.retain(|recent| *recent != id);
     }
 
-    fn leave_zone(&mut self, zone: usize) {
+    fn remove_from_zone(&mut self, zone: usize) {
         if let Some(count) = self.zones.get_mut(&zone) {
             count.servers -= 1;
             if count.servers == 0 {
@@ -136,20 +136,20 @@
     }
 
     /// A server was met.
-    pub fn met(&mut self, id: u64, how: Met, now: Duration) {
+    pub fn record(&mut self, id: u64, how: Contact, now: Duration) {
         match how {
-            Met::Answered => self.heard(id, now),
-            Met::InReach => self.in_reach(id, now),
-            Met::Refused | Met::Unanswered => self.doubted(id, how, now),
-            Met::Unreachable => self.failed(id, now),
+            Contact::Answered => self.record_answer(id, now),
+            Contact::Reachable => self.record_reachable(id, now),
+            Contact::Refused | Contact::Unanswered => self.record_server_fault(id, how, now),
+            Contact::Unreachable => self.record_unreachable(id, now),
         }
     }
 
     /// What speaks against a server alone. One that refuses a connection shows that its zone's network is well.
-    fn doubted(&mut self, id: u64, how: Met, now: Duration) {
+    fn record_server_fault(&mut self, id: u64, how: Contact, now: Duration) {
         let Some(server) = self.places.get(&id).map(|place| &mut self.servers[*place]) else { return };
         (server.heard, server.failed, self.last) = (None, Some(now), Some(now));
-        if how == Met::Refused {
+        if how == Contact::Refused {
             let zone = self.zones.entry(server.zone).or_default();
             zone.fade(now);
             zone.good += 1.0;
@@ -158,14 +158,14 @@
     }
 
     /// A server answered something.
-    pub fn heard(&mut self, id: u64, now: Duration) {
+    pub fn record_answer(&mut self, id: u64, now: Duration) {
         if let Some(place) = self.places.get(&id) {
             self.servers[*place].answered = Some(now);
         }
-        self.in_reach(id, now);
+        self.record_reachable(id, now);
     }
 
-    fn in_reach(&mut self, id: u64, now: Duration) {
+    fn record_reachable(&mut self, id: u64, now: Duration) {
         let Some(server) = self.places.get(&id).map(|place| &mut self.servers[*place]) else { return };
         server.heard = Some(now);
         let zone = self.zones.entry(server.zone).or_default();
@@ -187,7 +187,7 @@
     }
 
     /// A server's connection did not come up.
-    pub fn failed(&mut self, id: u64, now: Duration) {
+    pub fn record_unreachable(&mut self, id: u64, now: Duration) {
         let Some(server) = self.places.get(&id).map(|place| &mut self.servers[*place]) else { return };
         (server.failed, self.last) = (Some(now), Some(now));
         let zone = self.zones.entry(server.zone).or_default();
@@ -219,7 +219,7 @@
         let view = self.view(now);
         let against = |id: u64| {
             let again = self.zone(id).is_some_and(tried);
-            view.doubt(id) + if again { 0.25 } else { 0.0 } + 0.1 * crate::chance::fraction(draw ^ id)
+            view.doubt(id) + if again { 0.25 } else { 0.0 } + 0.1 * crate::math::fraction(draw ^ id)
         };
         let best = among.min_by(|a, b| against(*a).total_cmp(&against(*b)));
         // Few servers, and chance drew none that is left: any of them.
@@ -227,7 +227,7 @@
     }
 
     /// The server that answered last, other than these, if nothing has spoken against it since.
-    pub fn answered_last(&self, but: &[u64]) -> Option<u64> {
+    pub fn last_answered(&self, but: &[u64]) -> Option<u64> {
         self.recent.iter().rev().copied().find(|id| !but.contains(id))
     }
 
@@ -238,7 +238,7 @@
 
 /// What is believed of all servers at one moment.
 pub struct View<'a> {
-    reach: &'a Reach,
+    reach: &'a Reachability,
     now: Duration,
     zones: Vec<(usize, f64)>,
     least: f64,
@@ -273,35 +273,35 @@
 
     const SECOND: Duration = Duration::from_secs(1);
 
-    fn three_zones(size: u64) -> Reach {
-        let mut reach = Reach::default();
-        (0..size).for_each(|id| reach.join(id, (id % 3) as usize));
+    fn three_zones(size: u64) -> Reachability {
+        let mut reach = Reachability::default();
+        (0..size).for_each(|id| reach.add(id, (id % 3) as usize));
         reach
     }
 
     #[test]
     fn a_zone_that_was_cut_is_avoided_whole_and_found_again() {
         let mut reach = three_zones(300);
-        (0..6).for_each(|n| reach.failed(3 * n, SECOND));
-        (0..6).for_each(|n| reach.heard(3 * n + 1, SECOND));
-        let picked = |reach: &Reach, now, draw: u64| reach.pick(mix(draw), now, &[]).unwrap();
-        let cut = |reach: &Reach, now| {
+        (0..6).for_each(|n| reach.record_unreachable(3 * n, SECOND));
+        (0..6).for_each(|n| reach.record_answer(3 * n + 1, SECOND));
+        let picked = |reach: &Reachability, now, draw: u64| reach.pick(mix(draw), now, &[]).unwrap();
+        let cut = |reach: &Reachability, now| {
             (0..1_000).filter(|draw| picked(reach, now, *draw).is_multiple_of(3)).count()
         };
         assert_eq!(cut(&reach, SECOND), 0, "none of its servers, met or not");
         assert!(reach.doubt(33, SECOND) > 0.5 && reach.doubt(31, SECOND) == 0.0);
         assert!(cut(&reach, 30 * SECOND) > 100, "forgiven in time");
-        reach.heard(33, 2 * SECOND);
+        reach.record_answer(33, 2 * SECOND);
         assert!(reach.doubt(33, 2 * SECOND) < 0.1, "its own answer says more");
     }
 
     /// A process that ended, or has a long line, says nothing against its zone.
     #[test]
     fn servers_that_refuse_or_do_not_answer_speak_against_themselves_alone() {
-        for how in [Met::Refused, Met::Unanswered] {
+        for how in [Contact::Refused, Contact::Unanswered] {
             let mut reach = three_zones(30);
-            reach.heard(0, SECOND);
-            (0..5).for_each(|n| reach.met(3 * n, how, SECOND));
+            reach.record_answer(0, SECOND);
+            (0..5).for_each(|n| reach.record(3 * n, how, SECOND));
             assert!(reach.doubt(0, SECOND) > 0.9 && reach.doubt(27, SECOND) == 0.0, "{how:?}");
             assert!(!reach.recent.contains(&0));
         }
@@ -310,7 +310,7 @@
     #[test]
     fn one_failure_says_little_of_the_others() {
         let mut reach = three_zones(30);
-        reach.failed(0, SECOND);
+        reach.record_unreachable(0, SECOND);
         assert!(reach.doubt(0, SECOND) > 0.9);
         assert!(reach.doubt(3, SECOND) < 0.4);
     }
@@ -318,23 +318,23 @@
     #[test]
     fn a_restarted_server_is_believed_in_anew() {
         let mut reach = three_zones(30);
-        reach.met(5, Met::Refused, SECOND);
-        reach.list(5, 2, true, 0);
+        reach.record(5, Contact::Refused, SECOND);
+        reach.update(5, 2, true, 0);
         assert!(reach.doubt(5, SECOND) > 0.9, "the same process");
-        reach.list(5, 2, true, 7);
+        reach.update(5, 2, true, 7);
         assert_eq!((reach.doubt(5, SECOND), reach.len()), (0.0, 30));
-        reach.list(5, 2, false, 7);
+        reach.update(5, 2, false, 7);
         assert_eq!(reach.len(), 29);
     }
 
     #[test]
     fn what_fails_in_all_zones_alike_speaks_against_none() {
         let mut reach = three_zones(30);
-        (0..12).for_each(|id| reach.failed(id, SECOND));
+        (0..12).for_each(|id| reach.record_unreachable(id, SECOND));
         assert!(reach.doubt(20, SECOND) < 0.01);
-        let mut one = Reach::default();
-        (0..10).for_each(|id| one.join(id, 0));
-        one.failed(0, SECOND);
+        let mut one = Reachability::default();
+        (0..10).for_each(|id| one.add(id, 0));
+        one.record_unreachable(0, SECOND);
         assert_eq!(one.doubt(5, SECOND), 0.0);
     }
 
@@ -356,8 +356,8 @@
     #[test]
     fn who_leaves_is_forgotten() {
         let mut reach = three_zones(1_024);
-        (0..1_024).for_each(|id| reach.heard(id, SECOND));
-        (0..1_024).for_each(|id| reach.leave(id));
+        (0..1_024).for_each(|id| reach.record_answer(id, SECOND));
+        (0..1_024).for_each(|id| reach.remove(id));
         assert!(reach.is_empty() && reach.places.is_empty() && reach.recent.is_empty());
         assert!(reach.zones.is_empty());
         assert_eq!(reach.pick(1, SECOND, &[]), None);
--- a/fleet/src/start_times.rs
+++ b/fleet/src/start_times.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// A change may be told so long after it happened: a stamp that says less is believed.
-pub const NEWS_DELAY: Duration = Duration::from_secs(6);
+pub const MAX_NEWS_DELAY: Duration = Duration::from_secs(6);
 /// Starts of servers that the list has dropped are remembered for so long: one that comes back is the same process.
-pub const REMEMBERED: Duration = Duration::from_secs(600);
+pub const REMEMBER_FOR: Duration = Duration::from_secs(600);
 /// Starts remembered of servers that the list has dropped, at most.
-pub const MOST_DROPPED: usize = 4_096;
+pub const MAX_DROPPED: usize = 4_096;
 
 /// The clocks at one moment.
 #[derive(Clone, Copy, Debug)]
@@ -68,12 +68,12 @@
 
     /// Forgets starts of servers that were dropped long ago, and the oldest beyond the bound.
     pub fn sweep(&mut self, now: Duration) {
-        self.starts.retain(|_, start| start.dropped.is_none_or(|at| now.saturating_sub(at) < REMEMBERED));
+        self.starts.retain(|_, start| start.dropped.is_none_or(|at| now.saturating_sub(at) < REMEMBER_FOR));
         let mut dropped: Vec<(Duration, u64)> =
             self.starts.iter().filter_map(|(server, start)| Some((start.dropped?, *server))).collect();
-        if dropped.len() > MOST_DROPPED {
+        if dropped.len() > MAX_DROPPED {
             dropped.sort_unstable();
-            for (_, server) in &dropped[..dropped.len() - MOST_DROPPED] {
+            for (_, server) in &dropped[..dropped.len() - MAX_DROPPED] {
                 self.starts.remove(server);
             }
         }
@@ -94,6 +94,6 @@
 /// ahead, or before a time at which the list knew of no such start, says nothing but that it has just started.
 fn age(stamp: Duration, clocks: Clocks, current: Option<Duration>) -> Duration {
     let age = clocks.wall.saturating_sub(stamp).min(clocks.monotonic.saturating_sub(stamp));
-    let most = current.map(|current| clocks.monotonic.saturating_sub(current) + NEWS_DELAY);
+    let most = current.map(|current| clocks.monotonic.saturating_sub(current) + MAX_NEWS_DELAY);
     if most.is_some_and(|most| age > most) { Duration::ZERO } else { age }
 }
--- a/fleet/src/patience.rs
+++ b/fleet/src/timeout.rs
@@ -2,12 +2,12 @@
 //! not their fault.
 
 /// Roles of servers, by their numbers.
-const ROLES: usize = 3;
+const ROLE_COUNT: usize = 3;
 
 /// For each role the factor by which patience grows: it doubles for each of `parts` equal parts of the peers that is left
 /// out. Each peer comes with its role's number and whether it is left out.
-pub fn stretch(parts: f64, peers: impl Iterator<Item = (usize, bool)>) -> [f64; ROLES] {
-    let mut counts = [(0_u32, 0_u32); ROLES];
+pub fn timeout_factors(parts: f64, peers: impl Iterator<Item = (usize, bool)>) -> [f64; ROLE_COUNT] {
+    let mut counts = [(0_u32, 0_u32); ROLE_COUNT];
     for (role, left_out) in peers {
         let (all, out) = &mut counts[role];
         *all += 1;
--- a/fleet/tests/start_times.rs
+++ b/fleet/tests/start_times.rs
@@ -1,6 +1,6 @@
 //! Starts of servers under wall clocks that are stepped.
 
-use fawnstream_fleet::start_times::{Clocks, MOST_DROPPED, REMEMBERED, StartTimes};
+use fawnstream_fleet::start_times::{Clocks, MAX_DROPPED, REMEMBER_FOR, StartTimes};
 use std::time::Duration;
 
 const HOUR: i64 = 3_600;
@@ -85,12 +85,12 @@
     starts.sweep(secs(40));
     assert_eq!(starts.listed(1, secs(10), clocks(50, 0), Some(secs(49))), secs(10));
     starts.dropped(1, secs(60));
-    starts.sweep(secs(60) + REMEMBERED);
+    starts.sweep(secs(60) + REMEMBER_FOR);
     assert!(starts.is_empty());
-    for server in 0..2 * MOST_DROPPED as u64 {
+    for server in 0..2 * MAX_DROPPED as u64 {
         starts.listed(server, secs(10), clocks(20, 0), None);
         starts.dropped(server, secs(20) + Duration::from_millis(server));
     }
     starts.sweep(secs(30));
-    assert_eq!(starts.len(), MOST_DROPPED);
+    assert_eq!(starts.len(), MAX_DROPPED);
 }
--- a/fleet/tests/patience.rs
+++ b/fleet/tests/timeout.rs
@@ -1,11 +1,11 @@
 //! Patience with servers whose peers are left out.
 
-use fawnstream_fleet::patience::stretch;
+use fawnstream_fleet::timeout::timeout_factors;
 
 #[test]
 fn patience_doubles_for_each_part_of_the_peers_that_is_left_out() {
     let readers = (0..10).map(|number| (0, number < 4));
     let writers = (0..5).map(|_| (1, false));
-    assert_eq!(stretch(5.0, readers.chain(writers)), [4.0, 1.0, 1.0]);
-    assert_eq!(stretch(5.0, std::iter::empty()), [1.0; 3]);
+    assert_eq!(timeout_factors(5.0, readers.chain(writers)), [4.0, 1.0, 1.0]);
+    assert_eq!(timeout_factors(5.0, std::iter::empty()), [1.0; 3]);
 }
--- a/leases/benches/leases.rs
+++ b/leases/benches/leases.rs
@@ -1,6 +1,6 @@
 //! What an event costs at size: `cargo bench -p fawnstream-leases`. 1,000 servers in three zones, 10,000 requests held.
 
-use fawnstream_fleet::reach::Reach;
+use fawnstream_fleet::reachability::Reachability;
 use fawnstream_leases::{Action, AttemptEnd, Leases, ReleaseOutcome, Terms};
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
 };
 
 /// Each request's state is held, so late that none falls due.
-fn full(servers: u64, held: u64) -> (Leases<u64>, Reach) {
-    let (mut leases, mut reach) = (Leases::new(TERMS), Reach::default());
-    (0..servers).for_each(|server| reach.join(server, server as usize % 3));
+fn full(servers: u64, held: u64) -> (Leases<u64>, Reachability) {
+    let (mut leases, mut reach) = (Leases::new(TERMS), Reachability::default());
+    (0..servers).for_each(|server| reach.add(server, server as usize % 3));
     (0..held).for_each(|request| {
         leases.read_ended(request, &request, request % servers, Duration::from_secs(3_600))
     });
@@ -48,7 +48,7 @@
     bencher.bench_local(move || {
         request += 1;
         now += Duration::from_millis(1);
-        reach.failed(request % servers, now);
+        reach.record_unreachable(request % servers, now);
         leases.read_lost(request, &request, request % servers, AttemptEnd::Unanswered, now);
         for action in leases.poll(now, &reach) {
             if let Action::SendRelease { request, server, .. } = action {
--- a/leases/src/lease.rs
+++ b/leases/src/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::action::{AttemptEnd, LateReason, ReleaseKind, ReleaseProof};
 use crate::terms::Terms;
-use fawnstream_fleet::reach::Reach;
+use fawnstream_fleet::reachability::Reachability;
 use std::time::Duration;
 
 /// A server that may be out of reach is believed to be above this doubt.
@@ -111,7 +111,7 @@
     }
 
     /// Servers of which anything was heard since their attempts ended have run since.
-    fn note_heard(&mut self, reach: &Reach) {
+    fn note_heard(&mut self, reach: &Reachability) {
         for known in self.unnoticed.iter_mut().filter(|known| known.ran_at.is_none()) {
             known.ran_at = reach.answered_after(known.server, known.ended_at);
         }
@@ -264,7 +264,7 @@
     }
 
     /// What was heard of servers may show that their processes have run since the ends of attempts there.
-    pub(crate) fn note_heard(&mut self, reach: &Reach) {
+    pub(crate) fn note_heard(&mut self, reach: &Reachability) {
         self.ends.note_heard(reach);
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// A release was answered. Whatever is held now was waited for when it was sent.
-    pub(crate) fn note_released(&mut self, call: Call, now: Duration, reach: &Reach) {
+    pub(crate) fn note_released(&mut self, call: Call, now: Duration, reach: &Reachability) {
         self.ends.note_answered(call);
         self.ends.note_heard(reach);
         self.released = true;
@@ -312,7 +312,7 @@
     /// What the answer of a release proves. It has let go of nothing if an attempt may have waited: one that is out, or one
     /// whose server had not noticed its end, which is not known of a server that is in doubt, or that has shown nothing since:
     /// its process may stand still. Nor if its reader is in doubt: who answered may be cut off from it.
-    pub(crate) fn proof_of(&self, call: Call, now: Duration, reach: &Reach) -> ReleaseProof {
+    pub(crate) fn proof_of(&self, call: Call, now: Duration, reach: &Reachability) -> ReleaseProof {
         if self.attempt == Attempt::Out {
             return ReleaseProof::UnderAttempt;
         }
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -46,7 +46,7 @@
 pub use action::{Action, AttemptEnd, LateReason, Permission, ReleaseCounts, ReleaseOutcome, ReleaseProof};
 pub use terms::Terms;
 
-use fawnstream_fleet::reach::Reach;
+use fawnstream_fleet::reachability::Reachability;
 use lease::{Attempt, Call, Lease, Phase};
 use release_calls::ReleaseCalls;
 use std::collections::HashMap;
@@ -208,7 +208,7 @@
         server: u64,
         outcome: ReleaseOutcome,
         now: Duration,
-        reach: &Reach,
+        reach: &Reachability,
     ) -> Option<ReleaseProof> {
         let lease = self.leases.get_mut(&request)?;
         let call = lease.end_call(server)?;
@@ -234,7 +234,13 @@
     }
 
     /// A server said that it released what is held. That ends the lease only if no attempt can have waited for it.
-    fn answered(&mut self, request: u64, call: Call, now: Duration, reach: &Reach) -> Option<ReleaseProof> {
+    fn answered(
+        &mut self,
+        request: u64,
+        call: Call,
+        now: Duration,
+        reach: &Reachability,
+    ) -> Option<ReleaseProof> {
         let limit = self.terms.unattended_limit();
         let lease = self.leases.get_mut(&request)?;
         self.counts.count(lease.release_kind());
@@ -264,7 +270,7 @@
     }
 
     /// What is to be done now. `reach`: which servers are listed, and what is believed of them.
-    pub fn poll(&mut self, now: Duration, reach: &Reach) -> Vec<Action<L>> {
+    pub fn poll(&mut self, now: Duration, reach: &Reachability) -> Vec<Action<L>> {
         while let Some(request) = self.timetable.first_due(now) {
             self.schedule(request, None);
             self.fall_due(request, now);
@@ -332,7 +338,7 @@
     }
 
     /// Asks the next servers for a release.
-    fn ask_next_servers(&mut self, request: u64, now: Duration, reach: &Reach) {
+    fn ask_next_servers(&mut self, request: u64, now: Duration, reach: &Reachability) {
         let Some(lease) = self.leases.get_mut(&request) else { return };
         if lease.phase == Phase::ReleaseDue {
             lease.begin_release();
--- a/leases/src/release_calls.rs
+++ b/leases/src/release_calls.rs
@@ -3,8 +3,8 @@
 use crate::action::LateReason;
 use crate::lease::{Call, DOUBTED, Lease};
 use crate::terms::ROUNDS;
-use fawnstream_fleet::chance::mix;
-use fawnstream_fleet::reach::Reach;
+use fawnstream_fleet::math::mix;
+use fawnstream_fleet::reachability::Reachability;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
         request: u64,
         lease: &mut Lease<L>,
         now: Duration,
-        reach: &Reach,
+        reach: &Reachability,
     ) -> Vec<u64> {
         lease.note_heard(reach);
         let round = lease.round;
@@ -96,7 +96,7 @@
         round: u32,
         first: bool,
         now: Duration,
-        reach: &Reach,
+        reach: &Reachability,
     ) -> Option<u64> {
         let mut excluded = lease.asked.clone();
         excluded.extend(lease.calls.iter().map(|call| call.server));
@@ -109,7 +109,7 @@
         }
         // The last round in time begins with who is known to answer: calls that nobody answers may have left few.
         if first && round + 1 >= ROUNDS {
-            let known = reach.answered_last(&excluded).filter(|known| !self.is_busy(*known));
+            let known = reach.last_answered(&excluded).filter(|known| !self.is_busy(*known));
             if known.is_some() {
                 return known;
             }
--- a/leases/tests/model.rs
+++ b/leases/tests/model.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{TERMS, ms};
-use fawnstream_fleet::reach::Reach;
+use fawnstream_fleet::reachability::Reachability;
 use fawnstream_leases::{Action, AttemptEnd, Leases, Permission, ReleaseOutcome, Terms};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
@@ -196,7 +196,7 @@
 struct Player {
     terms: Terms,
     leases: Leases<u64>,
-    reach: Reach,
+    reach: Reachability,
     ways: Vec<Way>,
     /// From when on, and until when, each server's process stands still.
     stops: Vec<Option<(Duration, Duration)>>,
@@ -211,8 +211,8 @@
 impl Player {
     fn new(world: &World) -> Self {
         let terms = Terms { within: ms(world.within), ..TERMS };
-        let mut reach = Reach::default();
-        (0..world.ways.len() as u64).for_each(|server| reach.join(server, server as usize % 2));
+        let mut reach = Reachability::default();
+        (0..world.ways.len() as u64).for_each(|server| reach.add(server, server as usize % 2));
         Player {
             terms,
             leases: Leases::new(terms),
@@ -308,8 +308,8 @@
         while let Some(place) = self.calls.iter().position(|call| call.ends_at <= now) {
             let Call { request, server, outcome, .. } = self.calls.swap_remove(place);
             match outcome {
-                ReleaseOutcome::Answered => self.reach.heard(server, now),
-                ReleaseOutcome::Failed => self.reach.failed(server, now),
+                ReleaseOutcome::Answered => self.reach.record_answer(server, now),
+                ReleaseOutcome::Failed => self.reach.record_unreachable(server, now),
                 ReleaseOutcome::Unsent => {}
             }
             self.leases.release_ended(request, server, outcome, now, &self.reach);
--- a/leases/tests/transitions.rs
+++ b/leases/tests/transitions.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::{TERMS, ms};
-use fawnstream_fleet::reach::{Met, Reach};
+use fawnstream_fleet::reachability::{Contact, Reachability};
 use fawnstream_leases::{Action, AttemptEnd, Leases, Permission, ReleaseOutcome, ReleaseProof, Terms};
 use std::collections::{HashMap, VecDeque};
 
-fn servers(count: u64) -> Reach {
-    let mut reach = Reach::default();
-    (0..count).for_each(|server| reach.join(server, 0));
+fn servers(count: u64) -> Reachability {
+    let mut reach = Reachability::default();
+    (0..count).for_each(|server| reach.add(server, 0));
     reach
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// Everything that is asked is answered at once, until this time, in steps of 5 ms; when who was asked.
-fn play(leases: &mut Leases<&'static str>, reach: &Reach, from: u64, until: u64) -> Vec<(u64, u64)> {
+fn play(leases: &mut Leases<&'static str>, reach: &Reachability, from: u64, until: u64) -> Vec<(u64, u64)> {
     let mut releases = Vec::new();
     for now in (from..until).step_by(5) {
         for server in asked(leases.poll(ms(now), reach)) {
@@ -51,7 +51,7 @@
     let (mut leases, mut reach) = (Leases::new(Terms { at_once: 64, ..TERMS }), servers(100));
     leases.read_lost(1, &"a", 7, AttemptEnd::Unanswered, ms(0));
     assert_eq!(asked(leases.poll(ms(0), &reach)), [7]);
-    reach.failed(7, ms(0));
+    reach.record_unreachable(7, ms(0));
     leases.read_lost(2, &"b", 7, AttemptEnd::Unanswered, ms(1));
     let others = asked(leases.poll(ms(1), &reach));
     assert!(others.len() == 1 && others[0] != 7);
@@ -83,7 +83,7 @@
         now += ms(1);
         for (request, server) in calls.drain(..) {
             *at.get_mut(&server).unwrap() -= 1;
-            reach.heard(server, now);
+            reach.record_answer(server, now);
             leases.release_ended(request, server, ReleaseOutcome::Answered, now, &reach);
         }
     }
@@ -246,10 +246,10 @@
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(100));
-    reach.met(2, Met::Unanswered, ms(100));
+    reach.record(2, Contact::Unanswered, ms(100));
     leases.request_closed(1, ms(100));
     assert_eq!(play(&mut leases, &reach, 100, 1_300), [(160, 0), (535, 0), (910, 0), (1_285, 0)]);
-    reach.heard(2, ms(1_300));
+    reach.record_answer(2, ms(1_300));
     // At 1,660 it may not have noticed yet: it ran again at 1,300 only.
     assert_eq!(play(&mut leases, &reach, 1_300, 3_000), [(1_660, 0), (2_035, 0)]);
     assert!(leases.is_empty());
@@ -259,7 +259,7 @@
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(10_100));
     leases.request_closed(1, ms(10_100));
     for now in (10_100..16_000).step_by(5) {
-        reach.met(2, Met::Unanswered, ms(now));
+        reach.record(2, Contact::Unanswered, ms(now));
         play(&mut leases, &reach, now, now + 5);
     }
     assert!(leases.is_empty(), "one that is never heard is waited for no longer");
@@ -270,11 +270,11 @@
 fn releases_are_repeated_while_the_reader_is_in_doubt() {
     let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
-    reach.failed(0, ms(10));
+    reach.record_unreachable(0, ms(10));
     leases.request_closed(1, ms(10));
     let releases = play(&mut leases, &reach, 10, 1_000);
     assert!(releases.len() == 3 && releases.iter().all(|(_, server)| *server != 0), "{releases:?}");
-    reach.heard(0, ms(1_000));
+    reach.record_answer(0, ms(1_000));
     assert_eq!(play(&mut leases, &reach, 1_000, 3_000), [(1_135, 0)]);
     assert!(leases.is_empty());
 }
@@ -442,7 +442,7 @@
 /// The same as [`play`], where one server's process stands still until a time: it is asked and says nothing.
 fn play_beside_stopped(
     leases: &mut Leases<&'static str>,
-    reach: &mut Reach,
+    reach: &mut Reachability,
     stopped: u64,
     (from, goes_on, until): (u64, u64, u64),
 ) -> Vec<(u64, u64)> {
@@ -454,8 +454,8 @@
                 true => ReleaseOutcome::Failed,
                 false => ReleaseOutcome::Answered,
             };
-            let met = if outcome == ReleaseOutcome::Failed { Met::Unanswered } else { Met::Answered };
-            reach.met(server, met, ms(now + 1));
+            let met = if outcome == ReleaseOutcome::Failed { Contact::Unanswered } else { Contact::Answered };
+            reach.record(server, met, ms(now + 1));
             leases.release_ended(1, server, outcome, ms(now + 1), reach);
         }
     }
@@ -497,7 +497,7 @@
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(100));
     leases.request_closed(1, ms(100));
-    reach.heard(2, ms(120));
+    reach.record_answer(2, ms(120));
     leases.poll(ms(150), &reach);
     let releases = play_beside_stopped(&mut leases, &mut reach, 2, (155, 6_000, 8_000));
     assert!(releases.last().is_some_and(|(at, _)| *at < 1_000), "{releases:?}");
--- a/router/src/list/discovery.rs
+++ b/router/src/list/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::{Indented, Update, Wire, moved, read_lines, watcher};
 use crate::log;
-use fawnstream_fleet::calls::{Call, Calls, Manner, SILENCE};
+use fawnstream_fleet::discovery_calls::{CallEnd, CallPacer, ListSource, WATCH_TIMEOUT};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
@@ -12,16 +12,16 @@
 pub async fn follow(
     mut told: watch::Receiver<SocketAddr>,
     from: u64,
-    mut calls: Calls,
-    manner: Manner,
+    mut calls: CallPacer,
+    manner: ListSource,
     mut hear: impl FnMut(Update),
 ) {
-    let mut wait = manner.wait(calls.first());
+    let mut wait = manner.cap_delay(calls.first_delay());
     let mut known = Known { from, current: None };
     loop {
         tokio::select! {
             () = actix_rt::time::sleep(wait) => {}
-            () = moved(&mut told) => calls.moved(),
+            () = moved(&mut told) => calls.reset(),
         }
         let address = *told.borrow_and_update();
         let called = Instant::now();
@@ -33,17 +33,17 @@
         log!("connection peer=discovery address={address} code={reason} revision={}", known.from);
         let told = match reason {
             "moved" => {
-                calls.moved();
+                calls.reset();
                 Duration::ZERO
             }
             // What stands there may stand there again.
-            "bad-list" => calls.next(Call::Away, Duration::ZERO),
-            _ if stood => calls.next(Call::Stood, Duration::ZERO),
+            "bad-list" => calls.next_delay(CallEnd::Unavailable, Duration::ZERO),
+            _ if stood => calls.next_delay(CallEnd::WatchEnded, Duration::ZERO),
             // A call that was taken and told nothing waited in vain, as one that is refused does.
-            "refused" | "broken" | "ended" => calls.next(Call::Refused, called.elapsed()),
-            _ => calls.next(Call::Away, called.elapsed()),
+            "refused" | "broken" | "ended" => calls.next_delay(CallEnd::Refused, called.elapsed()),
+            _ => calls.next_delay(CallEnd::Unavailable, called.elapsed()),
         };
-        wait = manner.wait(told);
+        wait = manner.cap_delay(told);
     }
 }
 
@@ -58,14 +58,14 @@
 /// `stood` tells whether anything came, an empty line at least.
 async fn follow_one(
     address: SocketAddr,
-    manner: Manner,
+    manner: ListSource,
     known: &mut Known,
     stood: &mut bool,
     hear: &mut impl FnMut(Update),
 ) -> &'static str {
-    let client = watcher(manner.connect());
+    let client = watcher(manner.connect_timeout());
     let uri = format!("http://{address}/v1/servers?watch=1&from={}", known.from);
-    let asked = actix_rt::time::timeout(manner.head(), client.get(uri).send()).await;
+    let asked = actix_rt::time::timeout(manner.head_timeout(), client.get(uri).send()).await;
     let mut answer = match asked {
         Ok(Ok(answer)) if answer.status() == awc::http::StatusCode::OK => answer,
         Ok(Ok(answer)) if matches!(answer.status().as_u16(), 429 | 503) => return "refused",
@@ -74,7 +74,7 @@
         Err(_) => return "silent",
     };
     let mut indented = Indented::default();
-    read_lines(&mut answer, SILENCE, |line| {
+    read_lines(&mut answer, WATCH_TIMEOUT, |line| {
         *stood = true;
         let mut read = Ok(());
         indented.line(line, |text| {
--- a/router/src/list/etcd.rs
+++ b/router/src/list/etcd.rs
@@ -7,7 +7,7 @@
 use crate::config::etcd::Etcd;
 use crate::log;
 use base64::prelude::{BASE64_STANDARD, Engine as _};
-use fawnstream_fleet::calls::SILENCE;
+use fawnstream_fleet::discovery_calls::WATCH_TIMEOUT;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use shedrelay::ServerState;
@@ -17,7 +17,7 @@
 
 const FIRST_WAIT: Duration = Duration::from_millis(100);
 const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
-/// A watch has begun in this time, dial and all: with [`SILENCE`] and the waits that leaves time for three calls within
+/// A watch has begun in this time, dial and all: with [`WATCH_TIMEOUT`] and the waits that leaves time for three calls within
 /// that after which news counts as told.
 const ANSWER: Duration = Duration::from_millis(900);
 /// The whole list comes in this time.
@@ -167,7 +167,7 @@
             self.current = self.current.map(|_| Instant::now());
             Ok(())
         };
-        match read_lines(&mut answer, SILENCE, line).await {
+        match read_lines(&mut answer, WATCH_TIMEOUT, line).await {
             "silent" if begun => QUIET,
             reason => reason,
         }
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -109,10 +109,10 @@
         }
         None => None,
     };
-    let calls = fawnstream_fleet::calls::Calls::new(config.settings.routers, config.seed);
+    let calls = fawnstream_fleet::discovery_calls::CallPacer::new(config.settings.routers, config.seed);
     let manner = match config.settings.list_on_request {
-        true => fawnstream_fleet::calls::Manner::Asked,
-        false => fawnstream_fleet::calls::Manner::Pushed,
+        true => fawnstream_fleet::discovery_calls::ListSource::SharedService,
+        false => fawnstream_fleet::discovery_calls::ListSource::LocalAgent,
     };
     let terms = fawnstream_leases::Terms {
         within: Duration::from_nanos(config.links.release_within.0),
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -10,7 +10,7 @@
 use fawnstream::list::Update;
 use fawnstream::list::discovery::follow;
 use fawnstream::servers::{Fleet, close_arrives_within};
-use fawnstream_fleet::calls::{Calls, Manner};
+use fawnstream_fleet::discovery_calls::{CallPacer, ListSource};
 use fawnstream_leases::Terms;
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -147,7 +147,7 @@
         at_once: 2,
         seed,
     };
-    let calls = Calls::new(settings.routers, seed);
+    let calls = CallPacer::new(settings.routers, seed);
     let core = Core::new(settings, names, terms, seed, None).ok()?;
     let sockets = common.conditions.hollow_sockets;
     core.connect(Fleet::new(core.clone(), links, sockets, terms, Handover::new(false)));
@@ -161,7 +161,7 @@
     let discovery = common.discovery;
     actix_rt::spawn(async move {
         let told = tokio::sync::watch::Sender::new(discovery);
-        follow(told.subscribe(), 0, calls, Manner::Pushed, hear).await;
+        follow(told.subscribe(), 0, calls, ListSource::LocalAgent, hear).await;
     });
     Some(core)
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -6,10 +6,15 @@
 
 use crate::interface::*;
 use fawnstream_attempts::Attempts;
-use fawnstream_fleet::chance::{blend, fraction, mix};
-use fawnstream_fleet::reach::{Met, Reach, View};
-use fawnstream_fleet::{Allowance, Cell, Cold, Fault, Kept, Limit, Popular, Purse, Quota, Told};
-use fawnstream_fleet::{best, cells, cold::younger, homes, kept, limit, told};
+use fawnstream_fleet::math::{blend, fraction, mix};
+use fawnstream_fleet::reachability::{Contact, Reachability, View};
+use fawnstream_fleet::{
+    AdaptiveLimit, Cell, ColdBucket, FaultScore, LoadReport, Popularity, PrefixCache, Quota, ServerAllowance,
+    SlowStart,
+};
+use fawnstream_fleet::{
+    adaptive_limit, best, cells, load_report, prefix_cache, rendezvous, slow_start::younger_share,
+};
 use std::{cell::OnceCell, collections::BTreeMap, time::Duration};
 
 mod silence;
@@ -80,22 +85,22 @@
     role: Role,
     memory: f64,
     /// Tokens believed to be kept here for a session or a beginning.
-    kept: Kept,
+    kept: PrefixCache,
     attempts: u32,
     /// What this router has out here, in the units of its limit.
     used: f64,
     /// Tokens of our reads out here that are not believed to be kept.
     unread: f64,
     /// Reported share of memory.
-    report: Told,
+    report: LoadReport,
     probe_at: Time,
     /// How much speaks against it: errors, silence, or slowness beside its peers.
-    fault: Fault,
+    fault: FaultScore,
     heard: Time,
     out_until: Time,
     out_span: Span,
     /// What it may be sent while it is cold.
-    allowance: Option<Allowance>,
+    allowance: Option<ServerAllowance>,
     /// Where it was shut out and has said nothing since.
     trial: Option<silence::Trial>,
     /// Where a peer fell silent and it has said nothing since.
@@ -187,24 +192,24 @@
 pub struct Router {
     settings: Settings,
     seed: u64,
-    cold: Cold,
+    cold: SlowStart,
     /// What may be sent to the cold servers of each role.
-    purses: [Purse; 3],
+    purses: [ColdBucket; 3],
     /// Requests sent to each role so far.
     sent: [f64; 3],
     servers: BTreeMap<ServerId, Server>,
-    reach: Reach,
+    reach: Reachability,
     jobs: BTreeMap<RequestId, Job>,
     waiting: Vec<RequestId>,
     /// Requests seen of late for each beginning.
-    popular: Popular,
+    popular: Popularity,
     /// The most servers of each role that were ever listed at once.
     most: [usize; 3],
     /// What is left of the tenants' shares.
     tenants: Vec<Quota>,
     pools: [Pool; 3],
     /// The limits on reads and on tokens.
-    limits: [Limit; 2],
+    limits: [AdaptiveLimit; 2],
     weight: f64,
     born: Option<Time>,
     /// When the list last told of a server that drains.
@@ -249,11 +254,11 @@
 
     fn believed(&self, ask: &Request, now: Time, home: bool) -> f64 {
         let home = if home { ask.prefix_len } else { 0.0 };
-        self.kept.longest((now - Time(0)).secs(), &ask.texts()).max(home)
+        self.kept.longest_match((now - Time(0)).secs(), &ask.texts()).max(home)
     }
 
     fn learn(&mut self, ask: &Request, now: Time) {
-        self.kept.learn_all((now - Time(0)).secs(), &ask.texts());
+        self.kept.record_all((now - Time(0)).secs(), &ask.texts());
     }
 }
 
@@ -262,8 +267,8 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let Rules { cold_share: share, cold, fall_multiple: multiple, .. } = settings.rules;
-        let part = Limit::new(settings.routers);
-        let cold = Cold { share, warm_after: cold.secs(), multiple };
+        let part = AdaptiveLimit::new(settings.routers);
+        let cold = SlowStart { initial_share: share, warmup_secs: cold.secs(), overload_multiple: multiple };
         Ok(Router {
             tenants: vec![Quota::default(); settings.tenants.len()],
             settings,
@@ -272,10 +277,10 @@
             purses: Default::default(),
             sent: [0.0; 3],
             servers: BTreeMap::new(),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             jobs: BTreeMap::new(),
             waiting: Vec::new(),
-            popular: Popular::new(kept::FOR, kept::MOST),
+            popular: Popularity::new(prefix_cache::TTL_SECS, prefix_cache::MAX_ENTRIES),
             most: [0; 3],
             pools: Default::default(),
             limits: [part, part],
@@ -310,7 +315,7 @@
             Event::Timer(LIST_TIMER) => out.push(Action::Subscribe),
             Event::Timer(_) => {}
             Event::Probed { server, ok, report } => {
-                self.met(server, if ok { Met::Answered } else { Met::Unanswered });
+                self.met(server, if ok { Contact::Answered } else { Contact::Unanswered });
                 self.note_report(server, report.filter(|_| ok));
             }
             Event::Heard(server) => self.heard(server),
@@ -319,12 +324,12 @@
     }
 
     /// Which servers are in reach, as far as this router met them.
-    pub fn reach(&self) -> &Reach {
+    pub fn reach(&self) -> &Reachability {
         &self.reach
     }
 
-    fn met(&mut self, at: ServerId, how: Met) {
-        self.reach.met(at.0, how, Duration::from_nanos(self.now.0));
+    fn met(&mut self, at: ServerId, how: Contact) {
+        self.reach.record(at.0, how, Duration::from_nanos(self.now.0));
     }
 
     /// How many listed servers get nothing now: they drain, or were silent, unreachable or full of late.
@@ -337,13 +342,14 @@
     pub fn place(&mut self, now: Time, among: &[ServerId]) -> Option<ServerId> {
         self.now = now;
         let reports = |role| self.servers.values().filter(move |s| s.role == role).map(|s| s.report);
-        let means = [Role::Writer, Role::Mixed].map(|role| told::mean(self.secs(), reports(role)));
+        let means =
+            [Role::Writer, Role::Mixed].map(|role| load_report::mean_load(self.secs(), reports(role)));
         let starts = [Role::Reader, Role::Writer, Role::Mixed].map(|role| self.starts(role));
         let usable = |id: &ServerId| Some((*id, self.servers.get(id).filter(|s| s.usable(now))?));
         let reach = self.view();
         let score = |(id, server): (ServerId, &Server)| {
             let mean = means[usize::from(server.role == Role::Mixed)];
-            let soon = RELEASE_WEIGHT * younger(&starts[server.role as usize], &server.member.up_since);
+            let soon = RELEASE_WEIGHT * younger_share(&starts[server.role as usize], &server.member.up_since);
             (id, -soon - self.fullness(server, mean, &reach))
         };
         best(among.iter().filter_map(usable).map(score)).map(|(id, _)| id)
@@ -384,7 +390,7 @@
     fn forget_left(&mut self) {
         self.servers.retain(|id, server| {
             let left = server.member.state == ServerState::Left;
-            left.then(|| self.reach.leave(id.0));
+            left.then(|| self.reach.remove(id.0));
             !left || server.attempts > 0
         });
     }
@@ -392,7 +398,7 @@
     fn list(&mut self, entry: &Member) {
         let Some(kind) = self.settings.kinds.get(entry.kind.0) else { return };
         let (active, start) = (entry.state == ServerState::Active, entry.up_since.map_or(0, |up| up.0));
-        self.reach.list(entry.server.0, entry.zone.0, active, start);
+        self.reach.update(entry.server.0, entry.zone.0, active, start);
         let drains = entry.state == ServerState::Leaving;
         self.drained = drains.then_some(self.now).or(self.drained);
         let old = self.servers.get_mut(&entry.server);
@@ -419,7 +425,7 @@
         let Some(class) = self.settings.classes.get(ask.class.0) else {
             return out.push(Action::Refuse { request: ask.id, backoff: None });
         };
-        self.popular.note((self.now - Time(0)).secs(), ask.prefix.map(|key| key.0));
+        self.popular.record((self.now - Time(0)).secs(), ask.prefix.map(|key| key.0));
         let (id, aim) = (ask.id, class.aim + class.aim_per_1000.times(ask.prompt_len / 1000.0));
         let (arrived, deadline, mut worth) = (self.now, self.now + ask.budget, class.worth);
         if self.over_share(ask.tenant) {
@@ -495,7 +501,7 @@
 
     /// This router's part of a limit whose start is `start` for all routers.
     fn limit(&self, reads: bool, start: f64, one: f64) -> f64 {
-        self.limits[usize::from(!reads)].part(start, one)
+        self.limits[usize::from(!reads)].allowed(start, one)
     }
 
     fn start(&self, server: &Server) -> f64 {
@@ -527,7 +533,7 @@
         let (Some(job), Some(server)) = (self.jobs.get(&id), self.servers.get(&at)) else { return };
         let (reads, one) = (server.role == Role::Reader, job.ask.unit(server.role));
         let (used, start) = self.outs()[usize::from(!reads)];
-        self.limits[usize::from(!reads)].answered(late, used, start, one);
+        self.limits[usize::from(!reads)].record_answer(late, used, start, one);
     }
 
     // Choices.
@@ -547,7 +553,7 @@
     fn seen<'a, 'l>(&'a self, role: Role, look: &'l Look<'a>) -> &'l [Seen<'a>] {
         look.seen[role as usize].get_or_init(|| {
             let peers = &look.by_role[role as usize];
-            let mean = told::mean(self.secs(), peers.iter().map(|(_, s)| s.report));
+            let mean = load_report::mean_load(self.secs(), peers.iter().map(|(_, s)| s.report));
             let (starts, alone) = (self.starts(role), f64::from(self.settings.routers).sqrt());
             // The more routers, the less one read of ours tells of the load.
             let own = peers.iter().map(|(_, s)| f64::from(s.attempts)).sum::<f64>();
@@ -555,7 +561,7 @@
                 let against = FAULT_WEIGHT * self.against(server, &look.reach);
                 let load = self.load(server, f64::from(server.attempts) / (own + alone), mean) + against;
                 let (full, warmth) = (self.fullness(server, mean, &look.reach), self.warmth(server));
-                let soon = RELEASE_WEIGHT * younger(&starts, &server.member.up_since);
+                let soon = RELEASE_WEIGHT * younger_share(&starts, &server.member.up_since);
                 Seen { id, server, load, full, soon, warmth }
             };
             peers.iter().filter(|(_, s)| s.usable(self.now)).map(see).collect()
@@ -596,11 +602,11 @@
         let weight = |seen: &Seen| {
             let cell =
                 look.cells.get(&seen.server.member.cell.0).filter(|_| seen.server.role == Role::Reader);
-            (seen.id.0, cell.map_or(1.0, |cell| cell.weight))
+            (seen.id.0, cell.map_or(1.0, |cell| cell.reader_weight))
         };
-        let part = self.popular.likely(self.secs(), key.0);
+        let part = self.popular.likely_share(self.secs(), key.0);
         let most = 1 + (part * HOMES * among.len() as f64) as usize;
-        homes(key.0, among.iter().map(weight), most)
+        rendezvous(key.0, among.iter().map(weight), most)
     }
 
     /// How full a writer is: own streams as if all routers sent alike, its fresh report, faults.
@@ -615,7 +621,7 @@
 
     /// What speaks against a server: its own record, or that it may be out of reach.
     fn against(&self, server: &Server, reach: &View) -> f64 {
-        server.fault.now(self.secs()).max(reach.doubt(server.member.server.0))
+        server.fault.value(self.secs()).max(reach.doubt(server.member.server.0))
     }
 
     /// The writer with most room, in the reader's cell unless another has far more. Where a cell's readers
@@ -627,7 +633,7 @@
         }
         let cell = job.reader.and_then(|id| self.servers.get(&id)).map(|s| s.member.cell);
         let hash = mix(self.seed ^ job.ask.id.0);
-        let crowd = |cell: CellId| look.cells.get(&cell.0).map_or(1.0, |cell| cell.crowd);
+        let crowd = |cell: CellId| look.cells.get(&cell.0).map_or(1.0, |cell| cell.relative_load);
         let spill = cell.is_some_and(|cell| fraction(hash) * crowd(cell) > 1.0);
         let score = |seen: &Seen| {
             let chance = -fraction(hash ^ mix(seen.id.0)).ln();
@@ -758,7 +764,7 @@
         }
         job.held = false;
         self.answered(id, at);
-        self.met(at, Met::Answered);
+        self.met(at, Contact::Answered);
         self.open_gate(false, out);
     }
 
@@ -774,7 +780,7 @@
         let ratio = took.0 as f64 / pool.usual.max(1e6);
         pool.usual = blend(pool.usual, took.0 as f64, EWMA);
         pool.answers += 1.0;
-        server.fault.judge(secs, (1.0 - SLOW_FROM / ratio.max(SLOW_FROM)).max(0.0));
+        server.fault.add_sample(secs, (1.0 - SLOW_FROM / ratio.max(SLOW_FROM)).max(0.0));
         server.note_heard(self.now);
         server.out_span = silence::FIRST_OUT;
         server.out_until = server.out_until.min(self.now);
@@ -795,7 +801,7 @@
         self.judge(id, at, verdict, kept);
         if self.servers.get(&at).is_some_and(|server| server.heard == self.now) {
             let answered = evidence == Evidence::Server && verdict != Verdict::Reset;
-            self.met(at, if answered { Met::Answered } else { Met::InReach });
+            self.met(at, if answered { Contact::Answered } else { Contact::Reachable });
         }
         if self.servers.get(&at).is_some_and(|server| server.member.state == ServerState::Left) {
             self.forget_left();
@@ -836,7 +842,7 @@
         match verdict {
             // Its client left in the middle of its answer and it was ended here: the server did well until
             // then, and said nothing now.
-            Verdict::Ok if client_left => server.fault.judge(secs, 0.0),
+            Verdict::Ok if client_left => server.fault.add_sample(secs, 0.0),
             Verdict::Read => {
                 // Fewer kept tokens than believed: the server forgot, so all that is believed of it goes.
                 // Guards against flushes and evictions; could cost matches where a single text was evicted.
@@ -849,7 +855,7 @@
             Verdict::Ok | Verdict::NoState | Verdict::Error | Verdict::Spoilt | Verdict::Reset => {
                 server.note_heard(now);
                 let sound = matches!(verdict, Verdict::Ok | Verdict::NoState);
-                server.fault.judge(secs, f64::from(u8::from(!sound)));
+                server.fault.add_sample(secs, f64::from(u8::from(!sound)));
             }
             Verdict::Full => {
                 server.note_heard(now);
@@ -857,14 +863,14 @@
                 self.adapt(id, at, true);
             }
             Verdict::Timeout | Verdict::Cancelled if !soon => {
-                server.fault.judge(secs, 1.0 - SLOW_FROM / PATIENCE);
+                server.fault.add_sample(secs, 1.0 - SLOW_FROM / PATIENCE);
                 if silent {
-                    self.shut_out(at, Met::Unanswered);
+                    self.shut_out(at, Contact::Unanswered);
                 }
             }
-            Verdict::NoSignOfLife => server.fault.judge(secs, 1.0 - SLOW_FROM / PATIENCE),
-            Verdict::NoRoute => self.shut_out(at, Met::Unreachable),
-            Verdict::Refused => self.shut_out(at, Met::Refused),
+            Verdict::NoSignOfLife => server.fault.add_sample(secs, 1.0 - SLOW_FROM / PATIENCE),
+            Verdict::NoRoute => self.shut_out(at, Contact::Unreachable),
+            Verdict::Refused => self.shut_out(at, Contact::Refused),
             _ => {}
         }
     }
@@ -960,9 +966,10 @@
         let held_up = self.ticked.replace(self.now).is_some_and(|last| self.now - last > TICK.times(HELD_UP));
         out.push(Action::Timer { timer: TICK_TIMER, after: TICK });
         if !self.jobs.is_empty() {
-            let rate = self.popular.rate(self.secs(), (self.born.unwrap_or(self.now) - Time(0)).secs());
+            let rate =
+                self.popular.request_rate(self.secs(), (self.born.unwrap_or(self.now) - Time(0)).secs());
             let shares = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s);
-            self.weight = limit::weight(rate, shares.sum(), self.settings.routers);
+            self.weight = adaptive_limit::traffic_weight(rate, shares.sum(), self.settings.routers);
             // What came while this process stood still has not been read yet.
             if !held_up {
                 self.find_silent_servers(out);
@@ -1010,7 +1017,7 @@
     fn note_report(&mut self, at: ServerId, report: Option<Report>) {
         let now = self.secs();
         if let (Some(server), Some(report)) = (self.servers.get_mut(&at), report) {
-            server.report.hear(now, report.memory_share);
+            server.report.update(now, report.memory_share);
         }
     }
 }
--- a/src/logic/silence.rs
+++ b/src/logic/silence.rs
@@ -8,8 +8,8 @@
 
 use super::{Job, PATIENCE, Router, Server, Stage};
 use crate::interface::{Action, Effect, RequestId, Role, ServerId, Span, Time};
-use fawnstream_fleet::patience::stretch;
-use fawnstream_fleet::reach::Met;
+use fawnstream_fleet::reachability::Contact;
+use fawnstream_fleet::timeout::timeout_factors;
 use std::collections::BTreeMap;
 
 /// A server is silent when it has said nothing for this many times what its role's answers usually take to
@@ -70,7 +70,7 @@
         server.note_heard(now);
         if was_shut_out {
             server.out_until = server.out_until.min(now);
-            self.met(at, Met::Answered);
+            self.met(at, Contact::Answered);
         }
     }
 
@@ -140,7 +140,7 @@
 
     /// A server has fallen silent. What it was sent and may be repeated goes elsewhere.
     fn fell_silent(&mut self, at: ServerId, out: &mut Vec<Action>) {
-        self.shut_out(at, Met::Unanswered);
+        self.shut_out(at, Contact::Unanswered);
         if let Some(role) = self.servers.get(&at).map(|server| server.role) {
             self.cut[role as usize] = Some(self.now);
             let unproven = Unproven { until: self.now + CUT_LASTS, calls_left: UNPROVEN_CALLS };
@@ -170,7 +170,7 @@
         let mut silent = Vec::new();
         // Each fifth of the peers that is out doubles the patience: what many show at once is load.
         let peers = self.servers.values().filter(|server| server.listed());
-        let doubt = stretch(DOUBT, peers.map(|s| (s.role as usize, s.out_until > self.now)));
+        let doubt = timeout_factors(DOUBT, peers.map(|s| (s.role as usize, s.out_until > self.now)));
         for (id, job) in &mut self.jobs {
             let out_there = matches!(job.stage, Stage::Reading | Stage::Writing);
             let Some(at) = job.at.filter(|_| out_there) else { continue };
@@ -194,12 +194,12 @@
                 job.cancel_attempt(*id, out);
             }
         }
-        silent.into_iter().for_each(|at| self.shut_out(at, Met::Unanswered));
+        silent.into_iter().for_each(|at| self.shut_out(at, Contact::Unanswered));
     }
 
     /// A server gets nothing for a while, longer each time, and then one call at a time until it says
     /// something.
-    pub(super) fn shut_out(&mut self, at: ServerId, how: Met) {
+    pub(super) fn shut_out(&mut self, at: ServerId, how: Contact) {
         self.met(at, how);
         let Some(server) = self.servers.get_mut(&at).filter(|s| s.out_until <= self.now) else { return };
         server.out_until = self.now + server.out_span;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fawnstream_fleet::chance::mix;
+use fawnstream_fleet::math::mix;
 use shedrelay::*;
 use std::collections::BTreeMap;
 
