--- a/attempts/src/decisions.rs
+++ b/attempts/src/decisions.rs
@@ -5,7 +5,7 @@
 
 /// A process that said something so short a time ago is taken to run. What it was sent in that time is read unless it stops
 /// just then.
-pub const SIGN_OF_LIFE_LASTS: Duration = Duration::from_millis(5);
+pub const SIGN_OF_LIFE_MAX_AGE: Duration = Duration::from_millis(5);
 
 /// Whether a server's process is known to run, where that matters: a machine takes what comes while its process stands still,
 /// and a reset takes back nothing that it has taken.
@@ -64,13 +64,13 @@
     }
     match facts.sign_of_life {
         SignOfLife::NotNeeded => Ok(()),
-        SignOfLife::Seen { ago } if ago <= SIGN_OF_LIFE_LASTS => Ok(()),
+        SignOfLife::Seen { ago } if ago <= SIGN_OF_LIFE_MAX_AGE => Ok(()),
         SignOfLife::Seen { .. } | SignOfLife::Missing => Err(NotBegun::NoSignOfLife),
     }
 }
 
 /// A request may be on its way on a connection that has been without one for less than this.
-pub const SETTLED_AFTER: Duration = Duration::from_millis(150);
+pub const MIN_IDLE_TIME: Duration = Duration::from_millis(150);
 
 /// What is known of a client's connection whose place is wanted.
 #[derive(Clone, Copy, Debug)]
@@ -78,24 +78,24 @@
     /// A request is under way on it.
     pub busy: bool,
     /// Part of a request has come.
-    pub begun: bool,
+    pub partial_request: bool,
     /// It was told to end already.
-    pub leaving: bool,
+    pub closing: bool,
     /// For how long it has been without a request.
-    pub resting_for: Duration,
+    pub idle_for: Duration,
 }
 
 /// Why a connection is asked to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum EvictReason {
     /// Descriptors: any that rests will do.
     Descriptors,
     /// A place for a new client, which would find none.
-    Place,
+    ClientSlot,
 }
 
 /// Whether a connection may be asked to end for another one.
-pub fn may_evict(facts: &ConnectionFacts, need: Need) -> bool {
-    let settled = facts.resting_for >= SETTLED_AFTER;
-    !facts.busy && !facts.begun && !facts.leaving && (settled || need == Need::Place)
+pub fn may_evict(facts: &ConnectionFacts, need: EvictReason) -> bool {
+    let settled = facts.idle_for >= MIN_IDLE_TIME;
+    !facts.busy && !facts.partial_request && !facts.closing && (settled || need == EvictReason::ClientSlot)
 }
--- a/attempts/src/invariants.rs
+++ b/attempts/src/invariants.rs
@@ -5,7 +5,7 @@
 
 /// A rule that is checked at run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum Invariant {
     /// A request has one final outcome.
     OneFinalAnswer,
     /// No attempt is sent while another of the same request is out.
@@ -17,46 +17,46 @@
     /// The router ends no connection on which a request waits for its answer.
     ClosedUnanswered,
     /// What is held is let go of, or its call is known to have arrived, within the settings' time and the page's slack.
-    HoldReleased,
+    LeaseReleased,
 }
 
-impl Rule {
+impl Invariant {
     /// All of them.
-    pub const ALL: [Rule; 6] = [
-        Rule::OneFinalAnswer,
-        Rule::OneAttemptAtOnce,
-        Rule::RepeatPermitted,
-        Rule::AnswerInTime,
-        Rule::ClosedUnanswered,
-        Rule::HoldReleased,
+    pub const ALL: [Invariant; 6] = [
+        Invariant::OneFinalAnswer,
+        Invariant::OneAttemptAtOnce,
+        Invariant::RepeatPermitted,
+        Invariant::AnswerInTime,
+        Invariant::ClosedUnanswered,
+        Invariant::LeaseReleased,
     ];
 
     /// The name in metrics and in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneFinalAnswer => "one_final_answer",
-            Rule::OneAttemptAtOnce => "one_attempt_at_once",
-            Rule::RepeatPermitted => "repeat_permitted",
-            Rule::AnswerInTime => "answer_in_time",
-            Rule::ClosedUnanswered => "closed_unanswered",
-            Rule::HoldReleased => "hold_released",
+            Invariant::OneFinalAnswer => "one_final_answer",
+            Invariant::OneAttemptAtOnce => "one_attempt_at_once",
+            Invariant::RepeatPermitted => "repeat_permitted",
+            Invariant::AnswerInTime => "answer_in_time",
+            Invariant::ClosedUnanswered => "closed_unanswered",
+            Invariant::LeaseReleased => "hold_released",
         }
     }
 }
 
 /// How often each rule was broken.
 #[derive(Debug, Default)]
-pub struct Violations([Cell<u64>; Rule::ALL.len()]);
+pub struct Violations([Cell<u64>; Invariant::ALL.len()]);
 
 impl Violations {
     /// A rule was broken.
-    pub fn count(&self, rule: Rule) {
+    pub fn record(&self, rule: Invariant) {
         let count = &self.0[rule as usize];
         count.set(count.get() + 1);
     }
 
     /// How often it was, so far.
-    pub fn of(&self, rule: Rule) -> u64 {
+    pub fn get(&self, rule: Invariant) -> u64 {
         self.0[rule as usize].get()
     }
 }
--- a/attempts/src/lib.rs
+++ b/attempts/src/lib.rs
@@ -16,17 +16,17 @@
 use std::time::Duration;
 
 /// A repeat takes no longer than this from the decision that permits it to the server that has to recognise it.
-pub const TRANSIT: Duration = Duration::from_millis(40);
+pub const MAX_TRANSIT: Duration = Duration::from_millis(40);
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// It has no effect: it may be repeated at any time.
-    Harmless,
+    Idempotent,
     /// Every server drops repeats for this time after the first send.
-    DroppedEverywhere(Duration),
+    DedupEverywhere(Duration),
     /// The servers of one group do.
-    DroppedInGroup(Duration),
+    DedupInGroup(Duration),
     /// No server recognises a repeat.
     Never,
 }
@@ -44,7 +44,7 @@
     /// however late: the reset of a connection takes back nothing that a machine has taken.
     MayRunLater,
     /// A read that was given up here. A read has no effect, but the server may not have noticed yet.
-    MayBeOut,
+    MayBeInFlight,
 }
 
 /// How the end of an attempt came to be known.
@@ -65,7 +65,7 @@
     pub fn of(reads: bool, turned_away: bool, evidence: Evidence) -> Self {
         match (reads, turned_away, evidence) {
             (true, _, Evidence::Server) | (false, true, Evidence::Server) => Proof::NoEffect,
-            (true, _, Evidence::Router | Evidence::Silence) => Proof::MayBeOut,
+            (true, _, Evidence::Router | Evidence::Silence) => Proof::MayBeInFlight,
             (false, _, Evidence::Silence) => Proof::MayRunLater,
             (false, _, _) => Proof::MayHaveRun,
         }
@@ -74,7 +74,7 @@
 
 /// An attempt that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent<S> {
+pub struct SentAttempt<S> {
     /// Its server.
     pub server: S,
     /// When it was sent.
@@ -84,9 +84,9 @@
 /// All attempts of one request. At most one is out at a time.
 #[derive(Clone, Debug)]
 pub struct Attempts<S> {
-    out: Option<Sent<S>>,
+    out: Option<SentAttempt<S>>,
     /// The first one that may have run.
-    ran: Option<Sent<S>>,
+    ran: Option<SentAttempt<S>>,
     /// One that was given up may run at any later time.
     may_run_later: bool,
     /// When the first one was sent that may be out although it was given up.
@@ -103,7 +103,7 @@
     /// An attempt is sent. One that was out without an end counts as one that may have run.
     pub fn begin(&mut self, server: S, now: Duration) {
         self.end(Proof::MayHaveRun);
-        self.out = Some(Sent { server, at: now });
+        self.out = Some(SentAttempt { server, at: now });
     }
 
     /// The attempt that is out has ended. Nothing happens if none is.
@@ -116,47 +116,48 @@
                 self.ran = self.ran.or(Some(ended));
                 self.may_run_later = true;
             }
-            Proof::MayBeOut => self.given_up = self.given_up.or(Some(ended.at)),
+            Proof::MayBeInFlight => self.given_up = self.given_up.or(Some(ended.at)),
         }
     }
 
     /// Whether an attempt is out.
-    pub fn out(&self) -> bool {
+    pub fn in_flight(&self) -> bool {
         self.out.is_some()
     }
 
     /// The first attempt that may have run.
-    pub fn ran(&self) -> Option<Sent<S>> {
+    pub fn first_possible_run(&self) -> Option<SentAttempt<S>> {
         self.ran
     }
 
     /// Whether a refusal that asks the client to come back after `back_off` may be the final answer now.
-    pub fn may_refuse(&self, repeat: Repeat, now: Duration, back_off: Duration) -> bool {
+    pub fn may_refuse(&self, repeat: RepeatPolicy, now: Duration, back_off: Duration) -> bool {
         let ran = self.ran.or(self.out).map(|sent| sent.at);
         let doubtful = ran.into_iter().chain(self.given_up).min();
         match repeat {
-            Repeat::Harmless => true,
-            Repeat::DroppedEverywhere(window) => {
-                !self.may_run_later && doubtful.is_none_or(|sent| now + back_off + TRANSIT < sent + window)
+            RepeatPolicy::Idempotent => true,
+            RepeatPolicy::DedupEverywhere(window) => {
+                !self.may_run_later
+                    && doubtful.is_none_or(|sent| now + back_off + MAX_TRANSIT < sent + window)
             }
-            Repeat::DroppedInGroup(_) | Repeat::Never => doubtful.is_none(),
+            RepeatPolicy::DedupInGroup(_) | RepeatPolicy::Never => doubtful.is_none(),
         }
     }
 
     /// Whether a further attempt that may take effect is allowed now. `grouped`: whether its server drops repeats
     /// together with the one that this attempt was sent to.
-    pub fn may_repeat(&self, repeat: Repeat, now: Duration, grouped: impl FnOnce(S) -> bool) -> bool {
+    pub fn may_repeat(&self, repeat: RepeatPolicy, now: Duration, grouped: impl FnOnce(S) -> bool) -> bool {
         if self.out.is_some() {
             return false;
         }
         let Some(ran) = self.ran else { return true };
         match repeat {
-            Repeat::Harmless => true,
+            RepeatPolicy::Idempotent => true,
             // Whatever runs now, the earlier attempt may follow when nobody drops it any more.
             _ if self.may_run_later => false,
-            Repeat::DroppedEverywhere(window) => now + TRANSIT < ran.at + window,
-            Repeat::DroppedInGroup(window) => now + TRANSIT < ran.at + window && grouped(ran.server),
-            Repeat::Never => false,
+            RepeatPolicy::DedupEverywhere(window) => now + MAX_TRANSIT < ran.at + window,
+            RepeatPolicy::DedupInGroup(window) => now + MAX_TRANSIT < ran.at + window && grouped(ran.server),
+            RepeatPolicy::Never => false,
         }
     }
 }
--- a/attempts/tests/attempts.rs
+++ b/attempts/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! Properties of the proof that attempts leave, against a model that knows what really happened at the servers.
 
-use fawnstream_attempts::{Attempts, Evidence, Proof, Repeat, TRANSIT};
+use fawnstream_attempts::{Attempts, Evidence, MAX_TRANSIT, Proof, RepeatPolicy};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -79,12 +79,12 @@
     }
 
     /// Attempts go where the proof allows them; a read may go anywhere.
-    fn may_send(&self, repeat: Repeat, server: u8) -> bool {
+    fn may_send(&self, repeat: RepeatPolicy, server: u8) -> bool {
         let grouped = |first| group(first) == group(server);
         !self.waits && (server < READERS || self.attempts.may_repeat(repeat, self.now, grouped))
     }
 
-    fn step(&mut self, repeat: Repeat, step: Step) {
+    fn step(&mut self, repeat: RepeatPolicy, step: Step) {
         match step {
             Step::Send(server) if self.may_send(repeat, server) => {
                 self.real.push(Real {
@@ -115,29 +115,29 @@
     }
 
     /// Whether a refusal is harmless, by what really happened.
-    fn refusal_is_harmless(&self, repeat: Repeat, back_off: Duration) -> bool {
-        let again = self.now + back_off + TRANSIT;
+    fn refusal_is_harmless(&self, repeat: RepeatPolicy, back_off: Duration) -> bool {
+        let again = self.now + back_off + MAX_TRANSIT;
         // The next byte of the attempt that is out may be its last one.
         let current = self.real.last().filter(|_| self.waits);
         let mut doubtful = self.real.iter().filter(|real| real.is_doubtful()).chain(current);
         match repeat {
-            Repeat::Harmless => true,
-            Repeat::DroppedEverywhere(window) => doubtful.all(|real| again < real.sent + window),
-            Repeat::DroppedInGroup(_) | Repeat::Never => doubtful.next().is_none(),
+            RepeatPolicy::Idempotent => true,
+            RepeatPolicy::DedupEverywhere(window) => doubtful.all(|real| again < real.sent + window),
+            RepeatPolicy::DedupInGroup(_) | RepeatPolicy::Never => doubtful.next().is_none(),
         }
     }
 
     /// Whether an attempt at this server is harmless.
-    fn repeat_is_harmless(&self, repeat: Repeat, server: u8) -> bool {
-        let again = self.now + TRANSIT;
+    fn repeat_is_harmless(&self, repeat: RepeatPolicy, server: u8) -> bool {
+        let again = self.now + MAX_TRANSIT;
         let mut ran = self.real.iter().filter(|real| real.may_have_run());
         match repeat {
-            Repeat::Harmless => true,
-            Repeat::DroppedEverywhere(window) => ran.all(|real| again < real.sent + window),
-            Repeat::DroppedInGroup(window) => {
+            RepeatPolicy::Idempotent => true,
+            RepeatPolicy::DedupEverywhere(window) => ran.all(|real| again < real.sent + window),
+            RepeatPolicy::DedupInGroup(window) => {
                 ran.all(|real| again < real.sent + window && group(real.server) == group(server))
             }
-            Repeat::Never => ran.next().is_none(),
+            RepeatPolicy::Never => ran.next().is_none(),
         }
     }
 }
@@ -159,13 +159,13 @@
     ]
 }
 
-fn repeat() -> impl Strategy<Value = Repeat> {
+fn repeat() -> impl Strategy<Value = RepeatPolicy> {
     let window = || (1..2_000u64).prop_map(Duration::from_millis);
     prop_oneof![
-        Just(Repeat::Harmless),
-        window().prop_map(Repeat::DroppedEverywhere),
-        window().prop_map(Repeat::DroppedInGroup),
-        Just(Repeat::Never),
+        Just(RepeatPolicy::Idempotent),
+        window().prop_map(RepeatPolicy::DedupEverywhere),
+        window().prop_map(RepeatPolicy::DedupInGroup),
+        Just(RepeatPolicy::Never),
     ]
 }
 
@@ -195,15 +195,15 @@
     fn what_never_ran_may_be_refused(sends in prop::collection::vec((0..8u8, any::<bool>()), 0..6)) {
         let mut world = World::default();
         for (server, written) in sends {
-            world.step(Repeat::Never, Step::Send(server));
+            world.step(RepeatPolicy::Never, Step::Send(server));
             if written {
-                world.step(Repeat::Never, Step::Write);
-                world.step(Repeat::Never, Step::TurnedAway);
+                world.step(RepeatPolicy::Never, Step::Write);
+                world.step(RepeatPolicy::Never, Step::TurnedAway);
             } else {
-                world.step(Repeat::Never, Step::GiveUp);
+                world.step(RepeatPolicy::Never, Step::GiveUp);
             }
-            prop_assert!(world.attempts.may_refuse(Repeat::Never, world.now, Duration::ZERO));
-            prop_assert!(world.attempts.may_repeat(Repeat::Never, world.now, |_| false));
+            prop_assert!(world.attempts.may_refuse(RepeatPolicy::Never, world.now, Duration::ZERO));
+            prop_assert!(world.attempts.may_repeat(RepeatPolicy::Never, world.now, |_| false));
         }
     }
 }
@@ -215,9 +215,9 @@
     attempts.begin(1, Duration::ZERO);
     attempts.begin(2, Duration::from_millis(5));
     attempts.end(Proof::NoEffect);
-    assert!(!attempts.out());
-    assert_eq!(attempts.ran().map(|sent| sent.server), Some(1));
-    assert!(!attempts.may_refuse(Repeat::Never, Duration::from_secs(1), Duration::ZERO));
+    assert!(!attempts.in_flight());
+    assert_eq!(attempts.first_possible_run().map(|sent| sent.server), Some(1));
+    assert!(!attempts.may_refuse(RepeatPolicy::Never, Duration::from_secs(1), Duration::ZERO));
 }
 
 /// An attempt that was given up with nothing heard for it may be read by a process that goes on much later: no repeat and no
@@ -229,10 +229,12 @@
     attempts.begin(1, Duration::ZERO);
     attempts.end(Proof::of(false, false, Evidence::Silence));
     let now = Duration::from_millis(5);
-    for repeat in [Repeat::DroppedEverywhere(window), Repeat::DroppedInGroup(window), Repeat::Never] {
+    for repeat in
+        [RepeatPolicy::DedupEverywhere(window), RepeatPolicy::DedupInGroup(window), RepeatPolicy::Never]
+    {
         assert!(!attempts.may_repeat(repeat, now, |_| true), "{repeat:?}");
         assert!(!attempts.may_refuse(repeat, now, Duration::ZERO), "{repeat:?}");
     }
-    assert!(attempts.may_repeat(Repeat::Harmless, now, |_| true));
-    assert!(attempts.may_refuse(Repeat::Harmless, now, Duration::ZERO));
+    assert!(attempts.may_repeat(RepeatPolicy::Idempotent, now, |_| true));
+    assert!(attempts.may_refuse(RepeatPolicy::Idempotent, now, Duration::ZERO));
 }
--- a/attempts/tests/decisions.rs
+++ b/attempts/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! What may begin, and which connections may end.
 
 use fawnstream_attempts::decisions::*;
-use fawnstream_attempts::invariants::{Rule, Violations};
+use fawnstream_attempts::invariants::{Invariant, Violations};
 use std::time::Duration;
 
 const BEGIN: BeginFacts = BeginFacts {
@@ -27,33 +27,37 @@
 fn a_repeat_begins_only_right_after_a_sign_of_life() {
     let shown = |sign_of_life| BeginFacts { sign_of_life, ..BEGIN };
     let seen = |ago| shown(SignOfLife::Seen { ago });
-    assert_eq!(may_begin(&seen(SIGN_OF_LIFE_LASTS)), Ok(()));
-    assert_eq!(may_begin(&seen(SIGN_OF_LIFE_LASTS + Duration::from_millis(1))), Err(NotBegun::NoSignOfLife));
+    assert_eq!(may_begin(&seen(SIGN_OF_LIFE_MAX_AGE)), Ok(()));
+    assert_eq!(
+        may_begin(&seen(SIGN_OF_LIFE_MAX_AGE + Duration::from_millis(1))),
+        Err(NotBegun::NoSignOfLife)
+    );
     assert_eq!(may_begin(&shown(SignOfLife::Missing)), Err(NotBegun::NoSignOfLife));
     assert_eq!(may_begin(&BeginFacts { time_left: None, ..seen(Duration::ZERO) }), Err(NotBegun::TooLate));
 }
 
 #[test]
 fn a_connection_ends_for_another_only_without_a_request() {
-    let rests = ConnectionFacts { busy: false, begun: false, leaving: false, resting_for: SETTLED_AFTER };
-    let fresh = ConnectionFacts { resting_for: SETTLED_AFTER - Duration::from_millis(1), ..rests };
-    for need in [Need::Descriptors, Need::Place] {
+    let rests =
+        ConnectionFacts { busy: false, partial_request: false, closing: false, idle_for: MIN_IDLE_TIME };
+    let fresh = ConnectionFacts { idle_for: MIN_IDLE_TIME - Duration::from_millis(1), ..rests };
+    for need in [EvictReason::Descriptors, EvictReason::ClientSlot] {
         assert!(may_evict(&rests, need));
         assert!(!may_evict(&ConnectionFacts { busy: true, ..rests }, need));
-        assert!(!may_evict(&ConnectionFacts { begun: true, ..rests }, need));
-        assert!(!may_evict(&ConnectionFacts { leaving: true, ..rests }, need));
-        assert_eq!(may_evict(&fresh, need), need == Need::Place);
+        assert!(!may_evict(&ConnectionFacts { partial_request: true, ..rests }, need));
+        assert!(!may_evict(&ConnectionFacts { closing: true, ..rests }, need));
+        assert_eq!(may_evict(&fresh, need), need == EvictReason::ClientSlot);
     }
 }
 
 #[test]
 fn each_rule_has_a_count_and_a_name_of_its_own() {
     let violations = Violations::default();
-    violations.count(Rule::RepeatPermitted);
-    violations.count(Rule::RepeatPermitted);
-    let counts = Rule::ALL.map(|rule| violations.of(rule));
+    violations.record(Invariant::RepeatPermitted);
+    violations.record(Invariant::RepeatPermitted);
+    let counts = Invariant::ALL.map(|rule| violations.get(rule));
     assert_eq!(counts, [0, 0, 2, 0, 0, 0]);
-    let mut names = Rule::ALL.map(Rule::name);
+    let mut names = Invariant::ALL.map(Invariant::name);
     names.sort_unstable();
     assert!(names.windows(2).all(|pair| pair[0] != pair[1]));
 }
--- a/attempts/tests/stopped_processes.rs
+++ b/attempts/tests/stopped_processes.rs
@@ -10,7 +10,7 @@
 //! stops between its sign of life and the arrival of the repeat; the last test shows that nothing else is.
 
 use fawnstream_attempts::decisions::{BeginFacts, SignOfLife, may_begin};
-use fawnstream_attempts::{Attempts, Evidence, Proof, Repeat, TRANSIT};
+use fawnstream_attempts::{Attempts, Evidence, MAX_TRANSIT, Proof, RepeatPolicy};
 use std::time::Duration;
 
 const WINDOW: Duration = Duration::from_millis(600);
@@ -96,7 +96,7 @@
                 }
                 ended
             }
-            Step::GiveUp => self.attempts.out() && self.end(Proof::of(false, false, Evidence::Silence)),
+            Step::GiveUp => self.attempts.in_flight() && self.end(Proof::of(false, false, Evidence::Silence)),
             Step::Wait(time) => {
                 self.now += time;
                 true
@@ -105,8 +105,8 @@
     }
 
     fn send(&mut self, server: usize, stops: bool) -> bool {
-        let repeat = Repeat::DroppedEverywhere(WINDOW);
-        if self.attempts.out()
+        let repeat = RepeatPolicy::DedupEverywhere(WINDOW);
+        if self.attempts.in_flight()
             || !self.attempts.may_repeat(repeat, self.now, |_| true)
             || !self.begins(server)
         {
@@ -121,7 +121,7 @@
 
     /// Whether an attempt's first byte is written: a process that does not run shows no sign of life.
     fn begins(&self, server: usize) -> bool {
-        let sign_of_life = match self.attempts.ran() {
+        let sign_of_life = match self.attempts.first_possible_run() {
             None => SignOfLife::NotNeeded,
             Some(_) if self.stopped[server] => SignOfLife::Missing,
             Some(_) => SignOfLife::Seen { ago: Duration::ZERO },
@@ -152,7 +152,8 @@
                 (*delivery, lost) = (Delivery::Void, true);
             }
         }
-        let out_there = self.attempts.out() && self.deliveries.last().is_some_and(|(at, _)| *at == server);
+        let out_there =
+            self.attempts.in_flight() && self.deliveries.last().is_some_and(|(at, _)| *at == server);
         self.stopped[server] = false;
         (out_there && self.end(Proof::of(false, false, Evidence::Server))) || lost
     }
@@ -160,7 +161,7 @@
     /// The server's own word: only a process that runs has one.
     fn answered(&mut self, proof: Proof) -> bool {
         let runs = self.deliveries.last().is_some_and(|(server, _)| !self.stopped[*server]);
-        self.attempts.out() && runs && self.end(proof)
+        self.attempts.in_flight() && runs && self.end(proof)
     }
 
     fn end(&mut self, proof: Proof) -> bool {
@@ -180,7 +181,7 @@
     }
 
     fn runs_outside_its_window(&self) -> bool {
-        self.deliveries.len() > 1 && self.spread() > WINDOW + TRANSIT
+        self.deliveries.len() > 1 && self.spread() > WINDOW + MAX_TRANSIT
     }
 }
 
--- a/router/src/clients/conn.rs
+++ b/router/src/clients/conn.rs
@@ -132,9 +132,9 @@
     pub fn facts(&self) -> ConnectionFacts {
         ConnectionFacts {
             busy: !self.idle(),
-            begun: self.begun(),
-            leaving: self.leaving.get(),
-            resting_for: self.since.get().elapsed(),
+            partial_request: self.begun(),
+            closing: self.leaving.get(),
+            idle_for: self.since.get().elapsed(),
         }
     }
 
--- a/router/src/clients/listener.rs
+++ b/router/src/clients/listener.rs
@@ -13,8 +13,8 @@
 use actix_http::h1::{ExpectHandler, UpgradeHandler};
 use actix_http::{ConnectionType, HttpServiceBuilder, Request, Response, h1};
 use actix_service::{Service, ServiceFactory, fn_service};
-use fawnstream_attempts::decisions::{Need, SETTLED_AFTER, may_evict};
-use fawnstream_attempts::invariants::Rule;
+use fawnstream_attempts::decisions::{EvictReason, MIN_IDLE_TIME, may_evict};
+use fawnstream_attempts::invariants::Invariant;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -136,7 +136,7 @@
         log!("accept failed peer={peer} kind={} error=\"{error}\"", kind.name());
         self.accept_errors.set(self.accept_errors.get() + 1);
         if kind == AcceptError::Exhausted {
-            let _ = (0..most).all(|_| self.evict(Need::Descriptors));
+            let _ = (0..most).all(|_| self.evict(EvictReason::Descriptors));
         }
     }
 
@@ -163,16 +163,16 @@
     /// Makes room for one more connection, at the cost of the one that needs its place least: silent from the
     /// start, else longest without a request. False if none can go.
     fn make_room(&self) -> bool {
-        self.open() < self.most || self.evict(Need::Place)
+        self.open() < self.most || self.evict(EvictReason::ClientSlot)
     }
 
     /// Ends one connection without a request. False if there is none: one whose request has begun to come is owed an
     /// answer.
-    fn evict(&self, need: Need) -> bool {
+    fn evict(&self, need: EvictReason) -> bool {
         let conns = self.conns.borrow();
         let may_go = |conn: &&Rc<Conn>| may_evict(&conn.facts(), need);
         let rank = |conn: &&Rc<Conn>| {
-            let rank = match (conn.requests.get(), conn.since.get().elapsed() < SETTLED_AFTER) {
+            let rank = match (conn.requests.get(), conn.since.get().elapsed() < MIN_IDLE_TIME) {
                 (0, false) => 0,
                 (0, true) => 2,
                 _ => 1,
@@ -353,7 +353,7 @@
                     let code = follow(served, &conn, &shared).await;
                     if conn.owes() && !FREE_ENDS.contains(&code) {
                         let what = format!("connection={peer} code={code}");
-                        shared.core.violated(Rule::ClosedUnanswered, &what);
+                        shared.core.violated(Invariant::ClosedUnanswered, &what);
                     }
                     drop(entered);
                     log!(
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -12,8 +12,8 @@
 use crate::servers::Traced;
 use crate::usage::{self, Usage};
 use fawnstream_attempts::delivery::Delivery;
-use fawnstream_attempts::invariants::{Rule, Violations};
-use fawnstream_attempts::{Attempts, Repeat};
+use fawnstream_attempts::invariants::{Invariant, Violations};
+use fawnstream_attempts::{Attempts, RepeatPolicy};
 use fawnstream_fleet::start_times::{Clocks, StartTimes};
 use fawnstream_leases::{AttemptEnd, Leases, Permission, ReleaseOutcome, Terms};
 use fawnstream_ledger::book::Used;
@@ -235,7 +235,7 @@
     names: shedrelay_settings::Names,
     roles: Vec<Role>,
     /// What repeats of each class do.
-    repeats: Vec<Repeat>,
+    repeats: Vec<RepeatPolicy>,
     open: RefCell<HashMap<RequestId, Open>>,
     /// What is held at servers for requests.
     leases: RefCell<Leases<Rc<str>>>,
@@ -811,7 +811,7 @@
                 // Never sent whole: it proves that it never ran.
                 verdict = if open.answered { Verdict::Moot } else { Verdict::NoRoute };
             }
-            if !reads && ended.evidence == Evidence::Silence && open.history.ran().is_some() {
+            if !reads && ended.evidence == Evidence::Silence && open.history.first_possible_run().is_some() {
                 self.repeat_counts.count_unconfirmed();
             }
             open.history.end(match ended.delivery.may_have_run() {
@@ -858,7 +858,7 @@
         if let Some(open) = self.open.borrow_mut().get_mut(&id).filter(|open| !open.answered) {
             open.answered = true;
             if Instant::now() > open.deadline + ANSWER_LOST {
-                self.violated(Rule::AnswerInTime, &format!("id={}", open.exchange.call.label));
+                self.violated(Invariant::AnswerInTime, &format!("id={}", open.exchange.call.label));
             }
             open.exchange.open(opening);
             let how = match opening {
@@ -883,8 +883,8 @@
     }
 
     /// What repeats of a class do. One that is not known here is repeated by nobody.
-    fn repeat(&self, class: ClassId) -> Repeat {
-        self.repeats.get(class.0).copied().unwrap_or(Repeat::Never)
+    fn repeat(&self, class: ClassId) -> RepeatPolicy {
+        self.repeats.get(class.0).copied().unwrap_or(RepeatPolicy::Never)
     }
 
     /// Fails every request that still waits for its answer, and calls its attempt off: the process is about to end, and
@@ -909,7 +909,7 @@
     fn done(&self, id: RequestId, open: &Open, outcome: &str, tokens: Option<Tokens>) {
         let call = &open.exchange.call;
         if open.done.replace(true) {
-            return self.violated(Rule::OneFinalAnswer, &format!("id={} outcome={outcome}", call.label));
+            return self.violated(Invariant::OneFinalAnswer, &format!("id={} outcome={outcome}", call.label));
         }
         if let Some(usage) = &self.usage {
             let used = Used {
@@ -1028,22 +1028,22 @@
     /// Whether one more attempt may be sent. The module asks the same before; here a violation is counted.
     fn check_send(&self, open: &Open) -> bool {
         let label = &open.exchange.call.label;
-        if open.current.is_some() || open.history.out() {
-            self.violated(Rule::OneAttemptAtOnce, &format!("id={label} attempts={}", open.attempts));
+        if open.current.is_some() || open.history.in_flight() {
+            self.violated(Invariant::OneAttemptAtOnce, &format!("id={label} attempts={}", open.attempts));
             return false;
         }
         // Which servers drop repeats together is the module's to know.
         let repeat = self.repeat(open.exchange.call.class);
         let allowed = open.history.may_repeat(repeat, self.lease_time(), |_| true);
         if !allowed {
-            self.violated(Rule::RepeatPermitted, &format!("id={label} attempts={}", open.attempts));
+            self.violated(Invariant::RepeatPermitted, &format!("id={label} attempts={}", open.attempts));
         }
         allowed
     }
 
     /// A rule was broken: it is counted and logged, and a debug build ends here.
-    pub fn violated(&self, rule: Rule, what: &str) {
-        self.violations.count(rule);
+    pub fn violated(&self, rule: Invariant, what: &str) {
+        self.violations.record(rule);
         log!("invariant violated rule={} {what}", rule.name());
         debug_assert!(false, "invariant violated: {} {what}", rule.name());
     }
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -2,7 +2,7 @@
 
 use super::{Alarm, Core, Server, label, server_id};
 use crate::log;
-use fawnstream_attempts::invariants::Rule;
+use fawnstream_attempts::invariants::Invariant;
 use fawnstream_leases::{Action, LateReason, ReleaseCounts, ReleaseOutcome, ReleaseProof};
 use shedrelay::{Event, RequestId, ServerId};
 use std::cell::{Cell, RefCell};
@@ -96,7 +96,7 @@
                             "hold late id={label} server={server} held_ms={ms} reason={}",
                             reason_name(reason)
                         );
-                        self.violations.count(Rule::HoldReleased);
+                        self.violations.record(Invariant::LeaseReleased);
                     }
                     Action::Abandoned { label, reader } => {
                         let at = self.server(ServerId(reader));
--- a/router/src/core/repeats.rs
+++ b/router/src/core/repeats.rs
@@ -4,7 +4,7 @@
 //! the reset of its connection. So a repeat must reach a process that runs, while the repeat is still dropped.
 
 use super::{Core, Open, Server};
-use fawnstream_attempts::{Repeat, TRANSIT};
+use fawnstream_attempts::{MAX_TRANSIT, RepeatPolicy};
 use shedrelay::Role;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -76,12 +76,12 @@
 
     /// What binds the next attempt of a request at a server, if it is a repeat. A read has no effect.
     pub(super) fn repeat_limits(&self, open: &Open, server: &Server) -> Option<RepeatLimits> {
-        let (Repeat::DroppedEverywhere(window) | Repeat::DroppedInGroup(window)) =
+        let (RepeatPolicy::DedupEverywhere(window) | RepeatPolicy::DedupInGroup(window)) =
             self.repeat(open.exchange.call.class)
         else {
             return None;
         };
-        let ran = open.history.ran().filter(|_| server.role != Role::Reader)?;
+        let ran = open.history.first_possible_run().filter(|_| server.role != Role::Reader)?;
         let before_end = |reserve: Duration| self.instant((ran.at + window).saturating_sub(reserve));
         let announced = server.spoke.get().is_none()
             && server.announced.is_some_and(|at| at.elapsed() <= ANNOUNCED_LASTS);
@@ -90,7 +90,7 @@
         }
         Some(RepeatLimits {
             begin_by: before_end(ON_THE_WAY),
-            unheard_until: before_end(TRANSIT),
+            unheard_until: before_end(MAX_TRANSIT),
             needs_sign_of_life: !announced,
         })
     }
--- a/router/src/operators/figures.rs
+++ b/router/src/operators/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::Shared;
 use crate::core::Tally;
-use fawnstream_attempts::invariants::Rule;
+use fawnstream_attempts::invariants::Invariant;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -53,7 +53,7 @@
         let classes = core.names().classes.iter().zip(&tallies);
         page.by(name, help, "type", classes.map(|(class, tally)| (class.as_str(), count(tally))));
     }
-    let violations = Rule::ALL.iter().map(|rule| (rule.name(), core.violations().of(*rule)));
+    let violations = Invariant::ALL.iter().map(|rule| (rule.name(), core.violations().get(*rule)));
     page.by("invariant_violations", "Rules broken by this router; any is a fault.", "rule", violations);
     let (reloads, failed) = shared.reloads.get();
     let (targets, disabled) = core.targets();
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use closing::Closings;
 use events::{Garbage, Tail, report};
-use fawnstream_attempts::TRANSIT;
+use fawnstream_attempts::MAX_TRANSIT;
 use fawnstream_attempts::decisions::{NotBegun, SignOfLife};
 use fawnstream_attempts::delivery::Delivery;
 use fawnstream_leases::{ReleaseOutcome, Terms};
@@ -562,7 +562,7 @@
         }
     }
     let spoke_since = || {
-        let read_by = lane.written_at().map(|written| written + TRANSIT);
+        let read_by = lane.written_at().map(|written| written + MAX_TRANSIT);
         read_by.is_some_and(|read_by| server.spoke.get().is_some_and(|spoke| spoke > read_by))
     };
     if repeat.is_none() || lane.delivery() != Delivery::Written || spoke_since() {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! What goes into a [`Router`](crate::Router) and what comes out: settings, events and actions.
 //! Plain types only; no decision is taken here.
 
-use fawnstream_attempts::Repeat;
+use fawnstream_attempts::RepeatPolicy;
 pub use fawnstream_attempts::{Evidence, Proof};
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
@@ -172,12 +172,12 @@
     }
 
     /// What repeats of such a request do.
-    pub fn repeat(self) -> Repeat {
+    pub fn repeat(self) -> RepeatPolicy {
         match self {
-            Effect::Safe => Repeat::Harmless,
-            Effect::Keyed(Scope::All, window) => Repeat::DroppedEverywhere(window.into()),
-            Effect::Keyed(Scope::Zone | Scope::Cell, window) => Repeat::DroppedInGroup(window.into()),
-            Effect::Unsafe => Repeat::Never,
+            Effect::Safe => RepeatPolicy::Idempotent,
+            Effect::Keyed(Scope::All, window) => RepeatPolicy::DedupEverywhere(window.into()),
+            Effect::Keyed(Scope::Zone | Scope::Cell, window) => RepeatPolicy::DedupInGroup(window.into()),
+            Effect::Unsafe => RepeatPolicy::Never,
         }
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -896,7 +896,7 @@
         let untried = |(id, server): (&ServerId, &Server)| {
             server.role != Role::Reader && server.listed() && !job.failed.contains(id)
         };
-        left && (safe || job.history.ran().is_none()) && self.servers.iter().any(untried)
+        left && (safe || job.history.first_possible_run().is_none()) && self.servers.iter().any(untried)
     }
 
     /// Back to the gate; what is held has to go.
