--- a/fleet/src/discovery_calls.rs
+++ b/fleet/src/discovery_calls.rs
@@ -1,50 +1,52 @@
-//! When a router calls for the list of servers. Discovery is one service for all routers and has a fixed capacity:
-//! calls wait in turn there, one that waited too long is refused and has cost its turn all the same. So calls that
-//! come faster than it can take them are all refused, for as long as they go on: routers that ask again soon never
-//! get a list. No router sees the others' calls; each keeps to its part of a rate that holds for all together.
+//! When a router calls discovery for the list of servers. Discovery is one service with a fixed capacity for all
+//! routers. It queues calls and refuses those that waited too long, after they have used up their turn. If calls keep
+//! coming faster than it can serve them, all of them are refused and routers that retry soon never get a list. Routers
+//! do not see each other's calls, so each one keeps to its share of a common rate.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Routers that are refused ask so far apart, all together: 10 calls a second, whatever their number.
+/// Target time between retries of all refused routers together: 10 calls a second, whatever their number.
 pub const CALL_INTERVAL: Duration = Duration::from_millis(100);
-/// First calls, all at once after a release, are this far apart in place of that: most fleets' discovery takes them.
+/// Target time between the first calls of all routers, which start at once after a rollout. Most discovery services can
+/// take this rate.
 pub const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(30);
-/// A router that asks later hears later, and a drain that it would have heard of counts as told: first calls are spread
-/// over less than the 500 ms that the rule on drains leaves.
+/// Longest delay of a first call. A drain counts as announced even if the router has not asked yet, and the drain rule
+/// leaves 500 ms.
 pub const MAX_FIRST_DELAY: Duration = Duration::from_millis(400);
-/// However a call failed, a change counts as told so long after discovery had it and could be reached.
+/// A change counts as known to the router this long after discovery had it and was reachable, even if calls failed.
 pub const NEWS_DEADLINE: Duration = Duration::from_secs(6);
-/// A call that succeeds is answered in this time where discovery can take a call of each router within [`MAX_CALL_INTERVAL`]:
-/// then hardly any wait in turn.
+/// A successful call is answered within this time if discovery can serve every router once per [`MAX_CALL_INTERVAL`]:
+/// then hardly any call is queued.
 pub const ANSWER_TIME: Duration = Duration::from_millis(1_200);
-/// So the next call begins this long after a failed one began, at the latest and however many routers there are: a
-/// change that the failed one just missed is heard of within [`NEWS_DEADLINE`].
+/// Longest time from the start of a failed call to the start of the next, for any number of routers, so that a change
+/// which the failed call just missed arrives within [`NEWS_DEADLINE`].
 pub const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4_500);
-/// Wait after a call that cost discovery nothing: nobody was there. Doubles up to the longest.
+/// Backoff after a call that cost discovery nothing because nobody answered. Doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff while discovery cannot be reached.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
-/// A lone router that is refused still leaves discovery this long.
+/// Longest backoff of a refused router when there are few: even a lone router gives discovery this much time.
 const MAX_REFUSED_BACKOFF: Duration = Duration::from_millis(3_000);
 
-/// An empty line comes every 2 s while discovery is well. After so long without one the watch has fallen silent, as a
-/// connection that died does, and is opened anew: what it misses counts as told [`NEWS_DEADLINE`] after that.
+/// A healthy discovery service sends an empty line every 2 s. A watch without one for this long is taken for dead and
+/// is opened anew; changes it missed count as known [`NEWS_DEADLINE`] after that.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// How long a call may take, and how long is waited before the next one.
+/// Where the list comes from, which decides the timeouts and the delays between calls.
 #[derive(Clone, Copy, Debug)]
 pub enum ListSource {
     /// The list is pushed to an agent on this machine, which answers at once and at no cost: a call that hangs is
-    /// broken, and another one follows soon. What the agent has counts as told, also right after an outage.
+    /// broken and is soon repeated. Whatever the agent has counts as known, also right after an outage.
     LocalAgent,
-    /// Discovery serves many routers, and calls wait in turn: one given up early has cost its turn, and the next one
-    /// waits behind it. Calls keep to a rate that holds for all routers.
+    /// Discovery serves many routers and queues calls. A call given up early has used its turn, and the next one
+    /// queues behind it, so calls keep to the common rate.
     SharedService,
 }
 
 impl ListSource {
-    /// The answer's head comes in this time.
+    /// Timeout for the head of the answer.
     pub fn head_timeout(self) -> Duration {
         match self {
             ListSource::LocalAgent => Duration::from_millis(900),
@@ -52,17 +54,17 @@
         }
     }
 
-    /// A connection is up in this time; asking again costs nothing there.
+    /// Timeout for the connection; discovery pays nothing for another attempt at that stage.
     pub fn connect_timeout(self) -> Duration {
         self.head_timeout().min(Duration::from_millis(1_500))
     }
 
-    /// The wait before the next call, of the one that [`CallPacer`] say. One that breaks off each time is not called in a
-    /// loop; a drained server gets new work for less than 500 ms all the same.
-    pub fn cap_delay(self, told: Duration) -> Duration {
+    /// The delay before the next call, from the delay that [`CallPacer`] gives. A local agent is asked so soon again
+    /// that a drained server gets new work for less than 500 ms, but not in a busy loop if each call breaks off.
+    pub fn cap_delay(self, delay: Duration) -> Duration {
         match self {
-            ListSource::LocalAgent => told.min(Duration::from_millis(150)),
-            ListSource::SharedService => told,
+            ListSource::LocalAgent => delay.min(Duration::from_millis(150)),
+            ListSource::SharedService => delay,
         }
     }
 }
@@ -70,67 +72,68 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It brought news or a sign of life; what broke off was a watch that had stood.
+    /// An established watch broke off, after news or a sign of life had come.
     WatchEnded,
-    /// Discovery has too many to serve: it said so, or took the call and never told anything.
+    /// Discovery is overloaded: it said so, or accepted the call and sent nothing.
     Refused,
-    /// Nobody was there, or what came was no answer.
+    /// Discovery could not be reached, or what came was not a valid answer.
     Unavailable,
 }
 
-/// The waits of one router between its calls.
+/// Computes the delays between the calls of one router.
 #[derive(Debug)]
 pub struct CallPacer {
     routers: u32,
-    chance: Pcg64Mcg,
-    wait: Duration,
+    rng: Pcg64Mcg,
+    backoff: Duration,
+    /// The last call was refused.
     refused: bool,
 }
 
 impl CallPacer {
-    /// One router of so many; `seed` is its only source of chance.
+    /// For one of `routers` routers; all randomness comes from `seed`.
     pub fn new(routers: u32, seed: u64) -> Self {
         CallPacer {
             routers: routers.max(1),
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            wait: MIN_BACKOFF,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            backoff: MIN_BACKOFF,
             refused: false,
         }
     }
 
-    /// Before the first call: routers that were started together do not call together. The list that a router is
-    /// started with serves meanwhile.
+    /// The delay before the first call, so that routers started together do not call together. Until then the router
+    /// uses the list it was started with.
     pub fn first_delay(&mut self) -> Duration {
-        let all = (FIRST_CALL_INTERVAL * self.routers).min(MAX_FIRST_DELAY);
-        all.mul_f64(self.chance.random())
+        let longest = (FIRST_CALL_INTERVAL * self.routers).min(MAX_FIRST_DELAY);
+        longest.mul_f64(self.rng.random())
     }
 
-    /// Before the next call, after one that ended so and took so long.
+    /// The delay before the next call, after one that ended as `ended` and lasted `took`.
     pub fn next_delay(&mut self, ended: CallEnd, took: Duration) -> Duration {
-        // Waits after a refusal last for as long as all routers need for a call each at the rate that holds for all, as
-        // far as there is time for that.
-        let all = CALL_INTERVAL * self.routers;
-        let before = std::mem::replace(&mut self.refused, ended == CallEnd::Refused);
-        self.wait = match ended {
+        // After a refusal the backoff lasts for one round of calls of all routers at the common rate, as far as
+        // MAX_CALL_INTERVAL leaves time for that.
+        let round = CALL_INTERVAL * self.routers;
+        let refused_before = std::mem::replace(&mut self.refused, ended == CallEnd::Refused);
+        self.backoff = match ended {
             CallEnd::WatchEnded => MIN_BACKOFF,
-            CallEnd::Unavailable => (self.wait * 2).min(MAX_BACKOFF),
-            CallEnd::Refused if before => (self.wait * 2).min(MAX_REFUSED_BACKOFF.max(all)),
-            CallEnd::Refused => (self.wait * 2).min(MAX_REFUSED_BACKOFF).max(all / 2),
+            CallEnd::Unavailable => (self.backoff * 2).min(MAX_BACKOFF),
+            CallEnd::Refused if refused_before => (self.backoff * 2).min(MAX_REFUSED_BACKOFF.max(round)),
+            CallEnd::Refused => (self.backoff * 2).min(MAX_REFUSED_BACKOFF).max(round / 2),
         };
         match ended {
-            // A watch that stood may have ended for all routers at once.
-            CallEnd::WatchEnded => self.wait + self.first_delay(),
-            _ => self.spread(self.wait.min(MAX_CALL_INTERVAL.saturating_sub(took)).max(MIN_BACKOFF)),
+            // Watches of all routers may have ended at once.
+            CallEnd::WatchEnded => self.backoff + self.first_delay(),
+            _ => self.jitter(self.backoff.min(MAX_CALL_INTERVAL.saturating_sub(took)).max(MIN_BACKOFF)),
         }
     }
 
-    /// Discovery has another address: it is called at once, and refusals of the old one say nothing of it.
+    /// Discovery has a new address: it is called at once, and earlier refusals do not count for it.
     pub fn reset(&mut self) {
-        (self.wait, self.refused) = (MIN_BACKOFF, false);
+        (self.backoff, self.refused) = (MIN_BACKOFF, false);
     }
 
-    /// Half to all of the wait.
-    fn spread(&mut self, wait: Duration) -> Duration {
-        wait.mul_f64(0.5 + 0.5 * self.chance.random::<f64>())
+    /// A random delay between half of `delay` and all of it.
+    fn jitter(&mut self, delay: Duration) -> Duration {
+        delay.mul_f64(0.5 + 0.5 * self.rng.random::<f64>())
     }
 }
