--- a/fleet/src/cells.rs
+++ b/fleet/src/cells.rs
@@ -1,25 +1,27 @@
-//! Cells: racks whose readers and writers stand beside each other. Known from the list alone, so it serves where a
-//! router's own streams are too few to show a crowd.
+//! Balance of readers and writers per cell (racks that hold both). Computed from the list alone, so it also works where
+//! a router has too few requests of its own to see an overloaded cell.
 
 use fnv::FnvHashMap;
 use std::collections::BTreeMap;
 
-/// Bounds of a reader's weight as a home: readers can do more than the writers, but not at will.
+/// Lower bound of a reader's weight in the choice of homes.
 const MIN_READER_WEIGHT: f64 = 0.6;
+/// Upper bound: readers can do more than the writers of their cell, but not without limit.
 const MAX_READER_WEIGHT: f64 = 1.3;
 
-/// What is known of one cell.
+/// Balance of one cell.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
-    /// The weight of its readers as homes, from the writers that stand beside them.
+    /// Weight of its readers in the choice of homes for prefixes, from the number of writers in the cell.
     pub reader_weight: f64,
-    /// What its readers send against what its writers take, 1 on the mean of all cells.
+    /// What its readers send in proportion to what its writers can take; 1 is the mean of all cells.
     pub relative_load: f64,
 }
 
-/// All cells of these servers: each one's cell, and whether it reads or writes; others count for nothing here.
+/// The balance of each cell. Each server comes with its cell and `Some(true)` for a reader, `Some(false)` for a writer,
+/// `None` for others, which are not counted.
 pub fn cells(servers: impl Iterator<Item = (u64, Option<bool>)>) -> BTreeMap<u64, Cell> {
-    // Hashed while servers are counted, in order from then on.
+    // Counted in a hash map, then sorted by cell.
     let mut counts: FnvHashMap<u64, [f64; 2]> = FnvHashMap::default();
     for (cell, reads) in servers {
         let count = counts.entry(cell).or_default();
@@ -28,7 +30,7 @@
         }
     }
     let counts: BTreeMap<u64, [f64; 2]> = counts.into_iter().collect();
-    let sum = |place: usize| counts.values().map(|count| count[place]).sum::<f64>().max(1.0);
+    let sum = |role: usize| counts.values().map(|count| count[role]).sum::<f64>().max(1.0);
     let mean = sum(1) / sum(0);
     let weight = |c: &[f64; 2]| (c[1] / c[0].max(1.0) / mean).clamp(MIN_READER_WEIGHT, MAX_READER_WEIGHT);
     let sent = counts.values().map(|c| c[0] * weight(c)).sum::<f64>().max(1e-9) / sum(1);
@@ -44,7 +46,7 @@
     use super::*;
 
     #[test]
-    fn readers_beside_more_writers_are_homes_more_often_and_crowds_are_relative() {
+    fn reader_weight_grows_with_writers_and_load_is_relative_to_mean() {
         let fleet = [(1, true), (1, false), (1, false), (2, true), (2, true), (2, false)];
         let all = cells(fleet.iter().map(|(cell, reads)| (*cell, Some(*reads))));
         assert_eq!(all[&1].reader_weight, MAX_READER_WEIGHT);
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! What one router of many does so that the sum of all stays bounded. Pure: no clock, no I/O, no threads;
-//! `docs/design-fleet.md` says why it decides as it does.
+//! Local decisions of one router among many that keep the load of all routers together bounded. No clock, no I/O,
+//! no threads. `docs/design-fleet.md` gives the reasons.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/fleet/src/rendezvous.rs
+++ b/fleet/src/rendezvous.rs
@@ -1,14 +1,14 @@
-//! The homes of a beginning: the servers that count as keeping it, in an order that all routers agree on.
+//! Weighted rendezvous hashing: all routers choose the same home servers for a prompt prefix.
 
 use crate::math::{fraction, mix};
 
-/// Of these servers, each with its weight, so many that are first in the rendezvous order of a beginning. One pass.
-pub fn rendezvous(key: u64, among: impl Iterator<Item = (u64, f64)>, most: usize) -> Vec<u64> {
-    let wait = |(id, weight): (u64, f64)| (-fraction(mix(key) ^ id).ln() / weight, id);
-    let mut order: Vec<(f64, u64)> = among.map(wait).collect();
-    if most < order.len() {
-        order.select_nth_unstable_by(most, |a, b| a.0.total_cmp(&b.0));
-        order.truncate(most);
+/// The first `count` servers in the rendezvous order of `key`; each server comes with its weight. Takes one pass.
+pub fn rendezvous(key: u64, servers: impl Iterator<Item = (u64, f64)>, count: usize) -> Vec<u64> {
+    let rank = |(id, weight): (u64, f64)| (-fraction(mix(key) ^ id).ln() / weight, id);
+    let mut order: Vec<(f64, u64)> = servers.map(rank).collect();
+    if count < order.len() {
+        order.select_nth_unstable_by(count, |a, b| a.0.total_cmp(&b.0));
+        order.truncate(count);
     }
     order.into_iter().map(|(_, id)| id).collect()
 }
@@ -18,8 +18,8 @@
     use super::*;
 
     #[test]
-    fn homes_stay_as_they_are_when_others_come_and_go_and_follow_the_weights() {
-        let servers = |most: u64| (0..most).map(|n| (mix(n + 1), if n % 2 == 0 { 1.0 } else { 0.5 }));
+    fn choice_is_stable_when_servers_change_and_follows_weights() {
+        let servers = |count: u64| (0..count).map(|n| (mix(n + 1), if n % 2 == 0 { 1.0 } else { 0.5 }));
         let (mut kept, mut heavy) = (0, 0);
         for key in 0..1_000 {
             let (few, more) = (rendezvous(key, servers(40), 3), rendezvous(key, servers(41), 3));
--- a/fleet/tests/slow_start.rs
+++ b/fleet/tests/slow_start.rs
@@ -1,17 +1,17 @@
-//! What one router may send to one cold server.
+//! Requests that one router may send to one cold server.
 
 use fawnstream_fleet::{ServerAllowance, SlowStart};
 
 const COLD: SlowStart = SlowStart { initial_share: 0.3, warmup_secs: 10.0, overload_multiple: 2.5 };
 
-/// How many of so many requests a router that wants to send all of them to one cold server may send there.
-fn allowed(requests: u32, chance: f64) -> u32 {
-    let part = COLD.max_share(0.3, 10);
-    let mut allowance = ServerAllowance::new(chance, 0.0);
+/// How many of `requests` a router may send to one cold server if it wants to send all of them there.
+fn allowed(requests: u32, random: f64) -> u32 {
+    let share = COLD.max_share(0.3, 10);
+    let mut allowance = ServerAllowance::new(random, 0.0);
     let mut count = 0;
     for sent in 0..requests {
-        if allowance.allows(f64::from(sent), part) {
-            allowance.spend(f64::from(sent), part);
+        if allowance.allows(f64::from(sent), share) {
+            allowance.spend(f64::from(sent), share);
             count += 1;
         }
     }
@@ -19,19 +19,19 @@
 }
 
 #[test]
-fn a_router_sends_a_cold_server_its_part_and_two_more_at_most() {
+fn router_sends_cold_server_its_share_and_at_most_two_more() {
     assert_eq!(COLD.max_share(0.3, 10), 0.075);
     for requests in [10u32, 100, 1_000] {
-        let part = (f64::from(requests) * 0.075) as u32;
-        for chance in [0.0, 0.5, 1.0] {
-            let count = allowed(requests, chance);
-            assert!((part..=part + 2).contains(&count), "{count} of {requests}, the part is {part}");
+        let share = (f64::from(requests) * 0.075) as u32;
+        for random in [0.0, 0.5, 1.0] {
+            let count = allowed(requests, random);
+            assert!((share..=share + 2).contains(&count), "{count} of {requests}, the share is {share}");
         }
     }
 }
 
 #[test]
-fn what_is_not_used_does_not_pile_up() {
+fn unused_allowance_does_not_accumulate() {
     let mut allowance = ServerAllowance::new(0.0, 0.0);
     let at_once = (0..10).filter(|_| {
         let allows = allowance.allows(1e6, 0.075);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_part_is_never_more_than_all() {
+fn max_share_is_at_most_one() {
     assert_eq!(COLD.max_share(1.0, 1), 1.0);
     assert_eq!(COLD.max_share(0.3, 0), 0.75);
 }
