--- a/fleet/src/adaptive_limit.rs
+++ b/fleet/src/adaptive_limit.rs
@@ -1,60 +1,61 @@
-//! A limit at the gate that follows the answers: it falls where they are late, and grows where they are quick and it is
-//! nearly used up. Each router has its part of a limit whose start is told for all of them.
+//! Adaptive admission limit: falls with late answers, and grows with quick ones while it is nearly used up. Each router
+//! has its share of a limit whose initial value is set for all routers together.
 
-/// No limit grows past this multiple of its start ...
+/// Largest multiple of its initial value that a limit grows to.
 const MAX_FACTOR: f64 = 4.0;
-/// ... and none falls below this share of it, so that recovery is seen.
+/// Smallest multiple of its initial value that a limit falls to; some requests must pass for a recovery to be noticed.
 const MIN_FACTOR: f64 = 0.3;
-/// It falls by a request for each late one and grows by this part of one for each quick one; so idle and busy routers
-/// settle at the same share of late ones.
+/// The limit falls by one request for each late answer and grows by this part of a request for each quick one, so idle
+/// and busy routers settle at the same share of late answers.
 const GROWTH: f64 = 0.5;
-/// It grows only where this share of it is in use.
-const GROW_ABOVE: f64 = 0.7;
-/// Chance puts more at one router than its even part: so many deviations are allowed for.
-const DEVIATIONS: f64 = 2.0;
-/// One answer of the few that one of many routers has moves it by this share of its start at most: the weight of a
-/// sample where there are few.
+/// The limit grows only while more than this share of it is in use.
+const GROW_ABOVE_USE: f64 = 0.7;
+/// Standard deviations allowed above an even share, because requests are spread over routers at random.
+const ALLOWED_DEVIATIONS: f64 = 2.0;
+/// One answer moves the limit by at most this share of its initial value, so that one of many routers does not
+/// overreact to a single one of its few answers.
 const MAX_STEP: f64 = 0.25;
 
-/// When all routers are overloaded, clients try again: so many times the customers' shares come to each alike.
+/// When all routers are overloaded, clients retry, and this many times the tenants' shares arrive at each router alike.
 const RETRY_FACTOR: f64 = 2.5;
 
-/// How many routers' even part one router has to do, one at least, from the requests a second that come to it and the
-/// customers' shares together: traffic is uneven, and one that gets twenty times the mean would refuse most of it.
-/// The parts of all come to twice the limit at most, however uneven the traffic, while all requests together are no more
-/// than that many times the shares.
+/// How many even shares of the limit a router gets, at least one, from the requests a second that reach it (`rate`) and
+/// the sum of the tenants' shares. Traffic is uneven, and a router with twenty times the mean would otherwise refuse
+/// most of it. The shares of all routers add up to at most twice the limit, however uneven the traffic, while all
+/// requests together are at most [`RETRY_FACTOR`] times the tenants' shares.
 pub fn traffic_weight(rate: f64, shares: f64, routers: u32) -> f64 {
     let routers = f64::from(routers.max(1));
     if shares > 0.0 { (rate * routers / (shares * RETRY_FACTOR)).clamp(1.0, routers) } else { 1.0 }
 }
 
-/// One router's part of a limit.
+/// One router's share of a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct AdaptiveLimit {
-    /// As a multiple of its start.
+    /// Multiple of the initial value.
     factor: f64,
     routers: f64,
 }
 
 impl AdaptiveLimit {
-    /// At its start, for one of so many routers.
+    /// At its initial value, for one of `routers` routers.
     pub fn new(routers: u32) -> Self {
         AdaptiveLimit { factor: 1.0, routers: f64::from(routers.max(1)) }
     }
 
-    /// What this router may have out, of a limit that starts so for all routers, with some allowance for chance: the
-    /// part of a hundredth is well under one request, while requests come whole. `one`: the size of a request.
+    /// What this router may have in flight if the limit of all routers starts at `start`. `one` is a request's size.
+    /// Includes some allowance for random variation: one of a hundred routers has a share well under one request, but
+    /// requests come whole.
     pub fn allowed(&self, start: f64, one: f64) -> f64 {
-        let part = start * self.factor / self.routers;
-        part + DEVIATIONS * (part * one).sqrt()
+        let share = start * self.factor / self.routers;
+        share + ALLOWED_DEVIATIONS * (share * one).sqrt()
     }
 
-    /// An answer came, late or not, while so much was out.
+    /// Records an answer that came while `used` was in flight.
     pub fn record_answer(&mut self, late: bool, used: f64, start: f64, one: f64) {
         let step = (one * self.routers / start).min(MAX_STEP);
         if late {
             self.factor = (self.factor - step).max(MIN_FACTOR);
-        } else if used > GROW_ABOVE * self.allowed(start, one) {
+        } else if used > GROW_ABOVE_USE * self.allowed(start, one) {
             self.factor = (self.factor + GROWTH * step).min(MAX_FACTOR);
         }
     }
@@ -65,7 +66,7 @@
     use super::*;
 
     #[test]
-    fn late_answers_shrink_it_to_its_floor_and_quick_ones_let_it_grow_where_it_is_used() {
+    fn limit_falls_with_late_answers_and_grows_with_quick_ones_when_used() {
         let mut limit = AdaptiveLimit::new(2);
         let start = limit.allowed(100.0, 1.0);
         limit.record_answer(false, 0.0, 100.0, 1.0);
@@ -79,10 +80,10 @@
         assert!(limit.allowed(100.0, 1.0) < 5.0 * start);
     }
 
-    /// Uneven traffic of as much as all are ever asked for: the parts come to twice the limit at most, and a router
-    /// that gets most of it has its part.
+    /// Uneven traffic at the highest total rate: the shares add up to at most twice the limit, and a router that gets
+    /// most of the traffic has a large share.
     #[test]
-    fn parts_follow_uneven_traffic_and_their_sum_stays_bounded() {
+    fn traffic_weights_follow_uneven_traffic_and_their_sum_is_bounded() {
         for routers in [3u32, 48, 350, 1_024] {
             let raw: Vec<f64> = (0..routers).map(|n| 1.0 / f64::from(n + 1)).collect();
             let (all, shares) = (raw.iter().sum::<f64>(), 200.0);
@@ -93,12 +94,12 @@
             let first = weights.max_by(f64::total_cmp).unwrap();
             assert!(routers < 48 || first > 5.0, "{first} of {routers}");
         }
-        assert_eq!(traffic_weight(100.0, 0.0, 300), 1.0, "no shares are told");
+        assert_eq!(traffic_weight(100.0, 0.0, 300), 1.0, "tenants have no shares");
         assert_eq!(traffic_weight(1e9, 1.0, 7), 7.0);
     }
 
     #[test]
-    fn one_answer_moves_one_of_many_routers_by_a_quarter_at_most() {
+    fn one_answer_moves_the_limit_of_one_of_many_routers_by_a_quarter_at_most() {
         let mut limit = AdaptiveLimit::new(300);
         let before = limit.factor;
         limit.record_answer(true, 1.0, 20.0, 1.0);
--- a/fleet/src/fault_score.rs
+++ b/fleet/src/fault_score.rs
@@ -1,26 +1,27 @@
-//! What speaks against one server, from a router's own attempts there: errors, silence, slowness beside its peers.
+//! Outlier detection: a score of errors, silence and relative slowness of one server, from a router's own attempts.
 
 use crate::math::blend;
 
-/// Weight of a new sample: few samples, a fast verdict.
+/// Weight of a new sample. It is large because samples are few and a faulty server must be found fast.
 const EWMA_WEIGHT: f64 = 0.25;
-/// A record halves in so many seconds, so that a server is tried again.
+/// A score halves in this many seconds, so that a server is tried again.
 const HALF_LIFE_SECS: f64 = 6.0;
 
-/// A record, 0 to 1, and when that was so.
+/// How faulty a server seems, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultScore {
     score: f64,
+    /// When `score` was last updated, in seconds.
     at: f64,
 }
 
 impl FaultScore {
-    /// What is left of it, at a time in seconds.
+    /// The decayed score at a time in seconds.
     pub fn value(&self, now: f64) -> f64 {
         if self.score == 0.0 { 0.0 } else { self.score * ((self.at - now) / HALF_LIFE_SECS).exp2() }
     }
 
-    /// One more sample, 0 to 1.
+    /// Adds a sample from 0 (good) to 1 (bad).
     pub fn add_sample(&mut self, now: f64, sample: f64) {
         (self.score, self.at) = (blend(self.value(now), sample, EWMA_WEIGHT), now);
     }
@@ -31,7 +32,7 @@
     use super::*;
 
     #[test]
-    fn a_record_grows_with_bad_samples_and_is_forgiven() {
+    fn score_grows_with_bad_samples_and_decays() {
         let mut fault = FaultScore::default();
         assert_eq!(fault.value(5.0), 0.0);
         (0..20).for_each(|_| fault.add_sample(5.0, 1.0));
--- a/fleet/src/start_times.rs
+++ b/fleet/src/start_times.rs
@@ -1,21 +1,23 @@
-//! When servers started, on the router's monotonic clock. The list stamps each start with Unix time, and wall clocks may
-//! be stepped, at the router's machine or elsewhere, by an hour as well as by seconds. What the router itself knows
-//! bounds a stamp: a server had started when it heard so, and had not when the list was last known to be without it.
+//! Start times of servers on the router's monotonic clock. The list gives each start in Unix time, and wall clocks may
+//! be stepped by seconds or by an hour, on the router's machine or elsewhere. So a stamp is checked against what the
+//! router knows itself: the server had started when the list first named this start, and had not when the list was last
+//! known to be up to date without it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A change may be told so long after it happened: a stamp that says less is believed.
+/// Longest delay between a change and the news of it: a start stamped up to this long before the last up-to-date list
+/// is believed.
 pub const MAX_NEWS_DELAY: Duration = Duration::from_secs(6);
-/// Starts of servers that the list has dropped are remembered for so long: one that comes back is the same process.
+/// How long the start of a dropped server is remembered: if it comes back with the same stamp, it is the same process.
 pub const REMEMBER_FOR: Duration = Duration::from_secs(600);
-/// Starts remembered of servers that the list has dropped, at most.
+/// Most dropped servers whose starts are remembered.
 pub const MAX_DROPPED: usize = 4_096;
 
-/// The clocks at one moment.
+/// Readings of both clocks at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Clocks {
-    /// The monotonic clock, in Unix time as it was read once at the start.
+    /// The monotonic clock, as the Unix time read once at the router's start plus the time since.
     pub monotonic: Duration,
     /// The wall clock, in Unix time.
     pub wall: Duration,
@@ -25,22 +27,23 @@
 #[derive(Clone, Copy, Debug)]
 struct Start {
     stamp: Duration,
-    /// Stamps that it had before: old news may repeat one.
-    before: Option<Duration>,
+    /// The stamp before this one; old news may repeat it.
+    previous: Option<Duration>,
+    /// The start on the monotonic clock.
     at: Duration,
-    /// Since when the list is without it.
+    /// When the list dropped the server.
     dropped: Option<Duration>,
 }
 
-/// The starts of all servers that the list names, and of those that it named of late.
+/// Start times of all listed servers and of recently dropped ones.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     starts: HashMap<u64, Start>,
 }
 
 impl StartTimes {
-    /// The list names a server with this stamp, in Unix time; gives its start on the monotonic clock. `current` is when
-    /// the list was last known to be up to date before this news; none where that is not known, as for the first list.
+    /// Records that the list names a server with this stamp (Unix time), and returns its start on the monotonic clock.
+    /// `current` is when the list was last known to be up to date before this news, or `None` as for the first list.
     pub fn listed(
         &mut self,
         server: u64,
@@ -49,24 +52,24 @@
         current: Option<Duration>,
     ) -> Duration {
         let known = self.starts.get_mut(&server);
-        if let Some(start) = known.filter(|start| start.stamp == stamp || start.before == Some(stamp)) {
+        if let Some(start) = known.filter(|start| start.stamp == stamp || start.previous == Some(stamp)) {
             start.dropped = None;
             return start.at;
         }
         let at = clocks.monotonic - age(stamp, clocks, current);
-        let before = self.starts.get(&server).map(|start| start.stamp);
-        self.starts.insert(server, Start { stamp, before, at, dropped: None });
+        let previous = self.starts.get(&server).map(|start| start.stamp);
+        self.starts.insert(server, Start { stamp, previous, at, dropped: None });
         at
     }
 
-    /// The list is without a server from now on.
+    /// Records that the list has dropped a server.
     pub fn dropped(&mut self, server: u64, now: Duration) {
         if let Some(start) = self.starts.get_mut(&server) {
             start.dropped.get_or_insert(now);
         }
     }
 
-    /// Forgets starts of servers that were dropped long ago, and the oldest beyond the bound.
+    /// Forgets the starts of servers dropped more than [`REMEMBER_FOR`] ago, and the oldest beyond [`MAX_DROPPED`].
     pub fn sweep(&mut self, now: Duration) {
         self.starts.retain(|_, start| start.dropped.is_none_or(|at| now.saturating_sub(at) < REMEMBER_FOR));
         let mut dropped: Vec<(Duration, u64)> =
@@ -79,21 +82,21 @@
         }
     }
 
-    /// How many starts are remembered.
+    /// Number of remembered starts.
     pub fn len(&self) -> usize {
         self.starts.len()
     }
 
-    /// Whether none is.
+    /// Whether no start is remembered.
     pub fn is_empty(&self) -> bool {
         self.starts.is_empty()
     }
 }
 
-/// How long ago a server started that is news. Both clocks may be wrong, so the younger reading counts; a stamp that lies
-/// ahead, or before a time at which the list knew of no such start, says nothing but that it has just started.
+/// How long ago a newly listed start happened. Either clock may be wrong, so the smaller age counts. A stamp in the
+/// future, or from before a time when the list was up to date without this start, counts as a start just now.
 fn age(stamp: Duration, clocks: Clocks, current: Option<Duration>) -> Duration {
     let age = clocks.wall.saturating_sub(stamp).min(clocks.monotonic.saturating_sub(stamp));
-    let most = current.map(|current| clocks.monotonic.saturating_sub(current) + MAX_NEWS_DELAY);
-    if most.is_some_and(|most| age > most) { Duration::ZERO } else { age }
+    let max_age = current.map(|current| clocks.monotonic.saturating_sub(current) + MAX_NEWS_DELAY);
+    if max_age.is_some_and(|max_age| age > max_age) { Duration::ZERO } else { age }
 }
--- a/fleet/src/timeout.rs
+++ b/fleet/src/timeout.rs
@@ -1,17 +1,17 @@
-//! How long an answer may be waited for, by how many of a server's peers are left out: what many show at once is load, and
-//! not their fault.
+//! How far answer timeouts are stretched while peers of a server are excluded: if many servers are slow at once, the
+//! cause is load and not a fault of each.
 
-/// Roles of servers, by their numbers.
+/// Number of server roles.
 const ROLE_COUNT: usize = 3;
 
-/// For each role the factor by which patience grows: it doubles for each of `parts` equal parts of the peers that is left
-/// out. Each peer comes with its role's number and whether it is left out.
+/// The factor by which the timeout of each role grows. It doubles for each of `parts` equal parts of the role's servers
+/// that is excluded. Each server comes with its role's index and whether it is excluded.
 pub fn timeout_factors(parts: f64, peers: impl Iterator<Item = (usize, bool)>) -> [f64; ROLE_COUNT] {
     let mut counts = [(0_u32, 0_u32); ROLE_COUNT];
-    for (role, left_out) in peers {
+    for (role, excluded) in peers {
         let (all, out) = &mut counts[role];
         *all += 1;
-        *out += u32::from(left_out);
+        *out += u32::from(excluded);
     }
     counts.map(|(all, out)| (parts * f64::from(out) / f64::from(all.max(1))).exp2())
 }
--- a/fleet/tests/start_times.rs
+++ b/fleet/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Starts of servers under wall clocks that are stepped.
+//! Start times of servers while wall clocks are stepped.
 
 use fawnstream_fleet::start_times::{Clocks, MAX_DROPPED, REMEMBER_FOR, StartTimes};
 use std::time::Duration;
@@ -14,71 +14,75 @@
     Duration::from_secs(secs.unsigned_abs())
 }
 
-/// The clocks some seconds after the router's start, its wall clock stepped by so many.
+/// The clocks at `now` seconds, with the router's wall clock stepped by `step` seconds.
 fn clocks(now: i64, step: i64) -> Clocks {
     Clocks { monotonic: secs(now), wall: secs(now + step) }
 }
 
-/// How old a new server counts as that started a second ago, the list having been current two seconds ago: the
-/// router's and the agents' wall clocks stepped by so many seconds.
-fn age(step: i64, agents: i64) -> Duration {
-    let start = StartTimes::default().listed(1, secs(99 + agents), clocks(100, step), Some(secs(98)));
+/// The computed age of a server that started a second ago, where the list was last current two seconds ago. The wall
+/// clocks of the router and of the agent that stamped the start are stepped by `step` and `agent_step` seconds.
+fn age(step: i64, agent_step: i64) -> Duration {
+    let start = StartTimes::default().listed(1, secs(99 + agent_step), clocks(100, step), Some(secs(98)));
     secs(100) - start
 }
 
 #[test]
-fn clocks_that_agree_are_believed() {
+fn stamp_is_used_when_clocks_agree() {
     assert_eq!(age(0, 0), Duration::from_secs(1));
     let long_ago = StartTimes::default().listed(1, secs(-HOUR), clocks(100, 0), None);
-    assert_eq!(long_ago, secs(-HOUR), "a router's first list is believed");
+    assert_eq!(long_ago, secs(-HOUR), "stamps of the first list are used as they are");
 }
 
 #[test]
-fn a_server_that_just_started_is_young_whatever_steps_there_were() {
+fn new_server_is_young_whatever_the_clock_steps() {
     for step in [-HOUR, -30, 0, 30, HOUR] {
-        for agents in [-HOUR, -30, 0, 30, HOUR] {
-            assert!(age(step, agents) <= Duration::from_secs(1), "steps {step} and {agents}");
+        for agent_step in [-HOUR, -30, 0, 30, HOUR] {
+            assert!(age(step, agent_step) <= Duration::from_secs(1), "steps {step} and {agent_step}");
         }
     }
 }
 
 #[test]
-fn it_grows_older_by_the_monotonic_clock_though_its_stamp_lies_ahead() {
+fn server_with_future_stamp_ages_by_the_monotonic_clock() {
     let mut starts = StartTimes::default();
     let start = starts.listed(1, secs(100 + HOUR), clocks(100, 0), Some(secs(99)));
     assert_eq!(start, secs(100));
     assert_eq!(
         starts.listed(1, secs(100 + HOUR), clocks(150, -HOUR), Some(secs(149))),
         start,
-        "it is learnt once"
+        "the start is computed once"
     );
 }
 
 #[test]
-fn a_restart_under_a_known_id_is_one_though_its_stamp_is_older() {
+fn restart_with_an_older_stamp_is_recognised() {
     let mut starts = StartTimes::default();
     starts.listed(1, secs(50), clocks(60, 0), None);
     let again = starts.listed(1, secs(199 - HOUR), clocks(200, -HOUR), Some(secs(199)));
     assert!(again >= secs(198), "{again:?}");
-    assert_eq!(starts.listed(1, secs(50), clocks(201, 0), Some(secs(200))), again, "old news is no restart");
+    assert_eq!(
+        starts.listed(1, secs(50), clocks(201, 0), Some(secs(200))),
+        again,
+        "an earlier stamp is old news, no restart"
+    );
 }
 
 #[test]
-fn a_router_that_starts_between_two_steps_sees_later_starts_as_young() {
-    // It starts while the wall clock is an hour behind, which is put right after.
+fn router_started_between_two_clock_steps_sees_later_starts_as_young() {
+    // The router starts while the wall clock is an hour behind; the clock is corrected later.
     let clocks = Clocks { monotonic: secs(100 - HOUR), wall: secs(100) };
     let start = StartTimes::default().listed(1, secs(99), clocks, Some(secs(99 - HOUR)));
     assert!(clocks.monotonic - start <= Duration::from_secs(1));
 }
 
 #[test]
-fn what_started_in_an_outage_of_discovery_is_as_old_as_it_says() {
+fn server_started_during_discovery_outage_keeps_its_stamp() {
     let start = StartTimes::default().listed(1, secs(70), clocks(100, 0), Some(secs(60)));
     assert_eq!(start, secs(70));
 }
 
 #[test]
-fn a_server_that_comes_back_is_the_same_process_and_memory_is_bounded() {
+fn returning_server_keeps_its_start_and_memory_is_bounded() {
     let mut starts = StartTimes::default();
     starts.listed(1, secs(10), clocks(20, 0), None);
     starts.dropped(1, secs(30));
