--- a/attempts/src/decisions.rs
+++ b/attempts/src/decisions.rs
@@ -1,52 +1,52 @@
-//! What may be begun, and which connection may end, each decided in one place from values alone. What may be repeated or
-//! refused is decided by [`Attempts`](crate::Attempts).
+//! Whether an attempt may begin and whether a connection may be evicted, each decided in one place from plain values.
+//! [`Attempts`](crate::Attempts) decides what may be repeated or refused.
 
 use std::time::Duration;
 
-/// A process that said something so short a time ago is taken to run. What it was sent in that time is read unless it stops
-/// just then.
+/// A process that sent something at most this long ago is taken to be running, and to read what is sent to it unless it
+/// stops just then.
 pub const SIGN_OF_LIFE_MAX_AGE: Duration = Duration::from_millis(5);
 
-/// Whether a server's process is known to run, where that matters: a machine takes what comes while its process stands still,
-/// and a reset takes back nothing that it has taken.
+/// Whether a server's process is known to be running, where that matters: a machine accepts data while its process is
+/// stopped, and a reset does not take back what the machine has accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignOfLife {
-    /// It does not matter: the attempt may be read at any time.
+    /// It does not matter: the server may read the attempt at any time.
     NotNeeded,
-    /// The process has shown nothing on the connection.
+    /// The process has sent nothing on the connection.
     Missing,
-    /// The process said something on the connection.
+    /// The process sent something on the connection.
     Seen {
-        /// So long ago.
+        /// Time since then.
         ago: Duration,
     },
 }
 
-/// What is known when an attempt's first byte is about to be written, which may be long after it was sent this way.
+/// What is known when an attempt's first byte is about to be written, which may be long after the decision to send it.
 #[derive(Clone, Copy, Debug)]
 pub struct BeginFacts {
-    /// Its client still waits for an answer's beginning.
+    /// The client still waits for the beginning of an answer.
     pub client_waits: bool,
-    /// For how long its server has been known to take nothing new; none where it takes work.
+    /// How long the server has been known to drain; `None` while it takes new work.
     pub draining_for: Option<Duration>,
-    /// How long after that news an attempt may begin there.
+    /// How long after the news of the drain an attempt may still begin.
     pub drain_grace: Duration,
-    /// What is left until it is of no use, or no longer allowed; none where that time is over.
+    /// Time left until the attempt is useless or no longer allowed; `None` when that time is over.
     pub time_left: Option<Duration>,
-    /// Whether its server's process is known to run.
+    /// Whether the server's process is known to be running.
     pub sign_of_life: SignOfLife,
 }
 
 /// Why an attempt must not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotBegun {
-    /// Its server takes nothing new.
+    /// The server is draining.
     Draining,
-    /// Its client left, or has its answer.
+    /// The client has left or has its answer.
     NotWanted,
-    /// Its time was up.
+    /// Its time is over.
     TooLate,
-    /// Its server's process has not just shown that it runs.
+    /// The server's process has not shown recently that it is running.
     NoSignOfLife,
 }
 
@@ -55,7 +55,7 @@
     if !facts.client_waits {
         return Err(NotBegun::NotWanted);
     }
-    // The drain rule binds sends that wait for a connection too.
+    // The drain rule also applies to sends that waited for a connection.
     if facts.draining_for.is_some_and(|time| time > facts.drain_grace) {
         return Err(NotBegun::Draining);
     }
@@ -69,33 +69,33 @@
     }
 }
 
-/// A request may be on its way on a connection that has been without one for less than this.
+/// A connection is settled after this time without a request; before that a new request may be on its way.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(150);
 
-/// What is known of a client's connection whose place is wanted.
+/// What is known of a client's connection that may be evicted.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionFacts {
-    /// A request is under way on it.
+    /// A request is in progress on it.
     pub busy: bool,
-    /// Part of a request has come.
+    /// Part of a request has been received.
     pub partial_request: bool,
-    /// It was told to end already.
+    /// It has already been told to close.
     pub closing: bool,
-    /// For how long it has been without a request.
+    /// How long it has been without a request.
     pub idle_for: Duration,
 }
 
-/// Why a connection is asked to end.
+/// Why a connection is evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictReason {
-    /// Descriptors: any that rests will do.
+    /// File descriptors are short. The connection must be settled.
     Descriptors,
-    /// A place for a new client, which would find none.
+    /// A new client needs a connection and all are taken. Any connection without a request may go.
     ClientSlot,
 }
 
-/// Whether a connection may be asked to end for another one.
-pub fn may_evict(facts: &ConnectionFacts, need: EvictReason) -> bool {
+/// Whether a connection may be evicted.
+pub fn may_evict(facts: &ConnectionFacts, reason: EvictReason) -> bool {
     let settled = facts.idle_for >= MIN_IDLE_TIME;
-    !facts.busy && !facts.partial_request && !facts.closing && (settled || need == EvictReason::ClientSlot)
+    !facts.busy && !facts.partial_request && !facts.closing && (settled || reason == EvictReason::ClientSlot)
 }
--- a/attempts/src/delivery.rs
+++ b/attempts/src/delivery.rs
@@ -1,33 +1,33 @@
-//! How far a request has come on its way to a server, by what is proved here and not by what is likely.
+//! How far a request has provably come on its way to a server.
 
 /// How far an attempt has come. Each step includes the ones before it.
 ///
-/// | what asks | what it needs | what proves it |
+/// | question | needed state | proof |
 /// | --- | --- | --- |
-/// | may another attempt follow, may the answer be a refusal | that it is at most [`Unsent`](Delivery::Unsent) | the last byte was not written |
-/// | is an attempt out: no second one beside it, a drain's grace, slow start's sum | [`Written`](Delivery::Written) | the kernel accepted the last byte |
-/// | has the clock of what is held stopped | [`Arrived`](Delivery::Arrived) | the server said something on that connection |
+/// | may another attempt or a refusal follow | at most [`Unsent`](Delivery::Unsent) | last byte not written |
+/// | is an attempt in flight (no second one, drain grace, slow start) | [`Written`](Delivery::Written) | last byte accepted by the kernel |
+/// | has the clock of the lease stopped | [`Arrived`](Delivery::Arrived) | server sent something on the connection |
 /// | does the request belong to its client | [`Answered`](Delivery::Answered) | the answer began |
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Delivery {
-    /// Its last byte was not written: no server has begun it.
+    /// The last byte was not written, so no server has begun it.
     Unsent,
-    /// The kernel here accepted its last byte. It may be on its way, at a machine whose process stands still, or lost on
-    /// a connection that fell silent: nobody says so.
+    /// The local kernel accepted the last byte. The request may be in transit, at a machine whose process is stopped,
+    /// or lost on a dead connection; nothing reports which.
     Written,
-    /// Something came back for it on its connection: a running server had it.
+    /// Something came back for it on its connection: a running server has received it.
     Arrived,
-    /// Its answer began.
+    /// Its answer has begun.
     Answered,
 }
 
 impl Delivery {
-    /// A server may have begun it.
+    /// Whether a server may have begun it.
     pub fn may_have_run(self) -> bool {
         self >= Delivery::Written
     }
 
-    /// A running server had it.
+    /// Whether a running server has received it.
     pub fn arrived(self) -> bool {
         self >= Delivery::Arrived
     }
--- a/attempts/src/invariants.rs
+++ b/attempts/src/invariants.rs
@@ -1,27 +1,27 @@
-//! Rules that must hold whatever the decisions were: checked at the moment in which they could break, counted, and never
-//! the end of a process in a release build.
+//! Invariants that must hold whatever the router decides. They are checked where they could be violated and violations
+//! are counted; a release build never stops because of one.
 
 use std::cell::Cell;
 
-/// A rule that is checked at run time.
+/// An invariant that is checked at run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// A request has one final outcome.
     OneFinalAnswer,
-    /// No attempt is sent while another of the same request is out.
+    /// No attempt is sent while another of the same request is in flight.
     OneAttemptAtOnce,
-    /// An attempt is sent again only where a repeat is permitted.
+    /// A request is sent again only where a repeat is permitted.
     RepeatPermitted,
-    /// A final answer is given within half a second of its time.
+    /// A final answer is given at most half a second after its deadline.
     AnswerInTime,
-    /// The router ends no connection on which a request waits for its answer.
+    /// The router closes no connection on which a request waits for its answer.
     ClosedUnanswered,
-    /// What is held is let go of, or its call is known to have arrived, within the settings' time and the page's slack.
+    /// A lease is released, or its call is known to have arrived, within the settings' time plus the allowed slack.
     LeaseReleased,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; 6] = [
         Invariant::OneFinalAnswer,
         Invariant::OneAttemptAtOnce,
@@ -44,19 +44,19 @@
     }
 }
 
-/// How often each rule was broken.
+/// Counts of violations per invariant.
 #[derive(Debug, Default)]
 pub struct Violations([Cell<u64>; Invariant::ALL.len()]);
 
 impl Violations {
-    /// A rule was broken.
-    pub fn record(&self, rule: Invariant) {
-        let count = &self.0[rule as usize];
+    /// Counts a violation.
+    pub fn record(&self, invariant: Invariant) {
+        let count = &self.0[invariant as usize];
         count.set(count.get() + 1);
     }
 
-    /// How often it was, so far.
-    pub fn get(&self, rule: Invariant) -> u64 {
-        self.0[rule as usize].get()
+    /// The number of violations so far.
+    pub fn get(&self, invariant: Invariant) -> u64 {
+        self.0[invariant as usize].get()
     }
 }
--- a/attempts/tests/stopped_processes.rs
+++ b/attempts/tests/stopped_processes.rs
@@ -1,40 +1,42 @@
-//! Server processes that stand still: all orders of what can happen to the attempts of one keyed request at two servers, to a
-//! stated depth.
+//! Stopped server processes: explores all sequences of steps, up to a fixed depth, for the attempts of one request with
+//! an idempotency key at two servers.
 //!
-//! What can happen: a machine takes an attempt while its process stands still, the router gives the attempt up and resets its
-//! connection, and the process reads the attempt when it goes on, however late. A reset takes back nothing that a machine
-//! has taken. If the request was sent again meanwhile, both run, and the later one runs when nobody drops it any more.
+//! The failure: a machine accepts an attempt while its process is stopped, the router gives the attempt up and resets
+//! the connection, and the process still reads the attempt when it resumes, however late. If the request was repeated
+//! in the meantime, both attempts run, the later one after servers no longer drop it as a repeat.
 //!
-//! Two rules forbid that. An attempt that was given up with nothing heard for it is followed by none ([`Evidence::Silence`]).
-//! And a repeat begins only at a process that has just shown that it runs ([`SignOfLife`]). What is left is a process that
-//! stops between its sign of life and the arrival of the repeat; the last test shows that nothing else is.
+//! Two rules prevent that. No attempt follows one that was given up without any sign from its server
+//! ([`Evidence::Silence`]), and a repeat begins only at a process that has just shown that it is running
+//! ([`SignOfLife`]). The only remaining case is a process that stops between its sign of life and the arrival of the
+//! repeat; the last test shows that there is no other.
 
 use fawnstream_attempts::decisions::{BeginFacts, SignOfLife, may_begin};
 use fawnstream_attempts::{Attempts, Evidence, MAX_TRANSIT, Proof, RepeatPolicy};
 use std::time::Duration;
 
-const WINDOW: Duration = Duration::from_millis(600);
-/// Each order has so many steps.
+/// Servers drop repeats for this long after the first send.
+const DEDUP_WINDOW: Duration = Duration::from_millis(600);
+/// Number of steps in a sequence.
 const DEPTH: usize = 7;
-/// What waits at machines in the end is read after this time.
-const MUCH_LATER: Duration = Duration::from_secs(60);
+/// Attempts that a machine still holds at the end are read after this time.
+const RESUME_DELAY: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// The router sends an attempt, if it may.
+    /// The router sends an attempt if that is allowed.
     Send(usize),
-    /// The same, and the process stops before the attempt's bytes have come.
+    /// Like `Send`, and the process stops before the attempt arrives.
     SendAndStop(usize),
-    /// A process stands still.
+    /// The process stops.
     Stop(usize),
-    /// It goes on, and reads what its machine has taken.
-    GoOn(usize),
-    /// It dies, and what its machine has taken is gone; a new one runs.
+    /// The process resumes and reads what its machine has accepted.
+    Resume(usize),
+    /// The process dies, what its machine has accepted is lost, and a new process starts.
     Die(usize),
     /// The server ends the attempt's connection without an answer.
     Close,
-    /// The server turns the attempt away.
-    TurnAway,
+    /// The server rejects the attempt.
+    Reject,
     /// The router gives the attempt up and resets its connection.
     GiveUp,
     Wait(Duration),
@@ -47,26 +49,26 @@
     Step::SendAndStop(1),
     Step::Stop(0),
     Step::Stop(1),
-    Step::GoOn(0),
-    Step::GoOn(1),
+    Step::Resume(0),
+    Step::Resume(1),
     Step::Die(0),
     Step::Die(1),
     Step::Close,
-    Step::TurnAway,
+    Step::Reject,
     Step::GiveUp,
     Step::Wait(Duration::from_millis(250)),
     Step::Wait(Duration::from_millis(700)),
 ];
 
-/// An attempt as only its server knows it.
+/// What really happened to an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
-    /// Its server's machine has it.
-    Taken,
-    /// The process read it then.
+    /// The machine has accepted it, the process has not read it.
+    Accepted,
+    /// The process read it at this time.
     Read(Duration),
     /// It never runs.
-    Void,
+    Lost,
 }
 
 #[derive(Clone, Default)]
@@ -78,21 +80,21 @@
 }
 
 impl World {
-    /// Does a step; false if it changes nothing.
+    /// Performs a step; false if it changes nothing.
     fn step(&mut self, step: Step) -> bool {
         match step {
             Step::Send(server) => self.send(server, false),
             Step::SendAndStop(server) => !self.stopped[server] && self.send(server, true),
             Step::Stop(server) => !std::mem::replace(&mut self.stopped[server], true),
-            Step::GoOn(server) => {
+            Step::Resume(server) => {
                 std::mem::replace(&mut self.stopped[server], false) && self.read_all(server)
             }
             Step::Die(server) => self.die(server),
             Step::Close => self.answered(Proof::of(false, false, Evidence::Server)),
-            Step::TurnAway => {
+            Step::Reject => {
                 let ended = self.answered(Proof::of(false, true, Evidence::Server));
                 if ended && let Some((_, delivery)) = self.deliveries.last_mut() {
-                    *delivery = Delivery::Void;
+                    *delivery = Delivery::Lost;
                 }
                 ended
             }
@@ -104,23 +106,23 @@
         }
     }
 
-    fn send(&mut self, server: usize, stops: bool) -> bool {
-        let repeat = RepeatPolicy::DedupEverywhere(WINDOW);
+    fn send(&mut self, server: usize, stop: bool) -> bool {
+        let policy = RepeatPolicy::DedupEverywhere(DEDUP_WINDOW);
         if self.attempts.in_flight()
-            || !self.attempts.may_repeat(repeat, self.now, |_| true)
-            || !self.begins(server)
+            || !self.attempts.may_repeat(policy, self.now, |_| true)
+            || !self.may_begin_at(server)
         {
             return false;
         }
         self.attempts.begin(server, self.now);
-        self.stopped[server] |= stops;
-        let delivery = if self.stopped[server] { Delivery::Taken } else { Delivery::Read(self.now) };
+        self.stopped[server] |= stop;
+        let delivery = if self.stopped[server] { Delivery::Accepted } else { Delivery::Read(self.now) };
         self.deliveries.push((server, delivery));
         true
     }
 
-    /// Whether an attempt's first byte is written: a process that does not run shows no sign of life.
-    fn begins(&self, server: usize) -> bool {
+    /// Whether an attempt's first byte may be written; a stopped process gives no sign of life.
+    fn may_begin_at(&self, server: usize) -> bool {
         let sign_of_life = match self.attempts.first_possible_run() {
             None => SignOfLife::NotNeeded,
             Some(_) if self.stopped[server] => SignOfLife::Missing,
@@ -138,7 +140,7 @@
 
     fn read_all(&mut self, server: usize) -> bool {
         for (_, delivery) in self.deliveries.iter_mut().filter(|(at, _)| *at == server) {
-            if matches!(delivery, Delivery::Taken) {
+            if matches!(delivery, Delivery::Accepted) {
                 *delivery = Delivery::Read(self.now);
             }
         }
@@ -148,20 +150,20 @@
     fn die(&mut self, server: usize) -> bool {
         let mut lost = false;
         for (_, delivery) in self.deliveries.iter_mut().filter(|(at, _)| *at == server) {
-            if matches!(delivery, Delivery::Taken) {
-                (*delivery, lost) = (Delivery::Void, true);
+            if matches!(delivery, Delivery::Accepted) {
+                (*delivery, lost) = (Delivery::Lost, true);
             }
         }
-        let out_there =
+        let in_flight_here =
             self.attempts.in_flight() && self.deliveries.last().is_some_and(|(at, _)| *at == server);
         self.stopped[server] = false;
-        (out_there && self.end(Proof::of(false, false, Evidence::Server))) || lost
+        (in_flight_here && self.end(Proof::of(false, false, Evidence::Server))) || lost
     }
 
-    /// The server's own word: only a process that runs has one.
+    /// Ends the attempt by an answer of the server, which only a running process can give.
     fn answered(&mut self, proof: Proof) -> bool {
-        let runs = self.deliveries.last().is_some_and(|(server, _)| !self.stopped[*server]);
-        self.attempts.in_flight() && runs && self.end(proof)
+        let running = self.deliveries.last().is_some_and(|(server, _)| !self.stopped[*server]);
+        self.attempts.in_flight() && running && self.end(proof)
     }
 
     fn end(&mut self, proof: Proof) -> bool {
@@ -169,44 +171,44 @@
         true
     }
 
-    /// How far apart the attempts are that run, if all processes go on much later.
+    /// Time between the first and the last run of an attempt if all stopped processes resume much later.
     fn spread(&self) -> Duration {
         let read = |(_, delivery): &(usize, Delivery)| match delivery {
             Delivery::Read(at) => Some(*at),
-            Delivery::Taken => Some(self.now + MUCH_LATER),
-            Delivery::Void => None,
+            Delivery::Accepted => Some(self.now + RESUME_DELAY),
+            Delivery::Lost => None,
         };
         let times = || self.deliveries.iter().filter_map(read);
         times().max().unwrap_or_default() - times().min().unwrap_or_default()
     }
 
-    fn runs_outside_its_window(&self) -> bool {
-        self.deliveries.len() > 1 && self.spread() > WINDOW + MAX_TRANSIT
+    fn runs_outside_window(&self) -> bool {
+        self.deliveries.len() > 1 && self.spread() > DEDUP_WINDOW + MAX_TRANSIT
     }
 }
 
-/// All orders to [`DEPTH`] in which the request runs outside its window, with the number of orders that were tried.
-fn bad_orders(allowed: impl Fn(Step) -> bool + Copy) -> (Vec<Vec<Step>>, usize) {
+/// All sequences up to [`DEPTH`] in which the request runs outside its window, and the number of sequences tried.
+fn bad_sequences(allowed: impl Fn(Step) -> bool + Copy) -> (Vec<Vec<Step>>, usize) {
     fn explore(
         world: &World,
-        order: &mut Vec<Step>,
+        sequence: &mut Vec<Step>,
         allowed: impl Fn(Step) -> bool + Copy,
         bad: &mut Vec<Vec<Step>>,
         tried: &mut usize,
     ) {
         *tried += 1;
-        if world.runs_outside_its_window() {
-            return bad.push(order.clone());
+        if world.runs_outside_window() {
+            return bad.push(sequence.clone());
         }
-        if order.len() == DEPTH {
+        if sequence.len() == DEPTH {
             return;
         }
         for step in STEPS.into_iter().filter(|step| allowed(*step)) {
             let mut next = world.clone();
             if next.step(step) {
-                order.push(step);
-                explore(&next, order, allowed, bad, tried);
-                order.pop();
+                sequence.push(step);
+                explore(&next, sequence, allowed, bad, tried);
+                sequence.pop();
             }
         }
     }
@@ -215,26 +217,26 @@
     (bad, tried)
 }
 
-fn stops_on_the_way(step: &Step) -> bool {
+fn stops_in_transit(step: &Step) -> bool {
     matches!(step, Step::SendAndStop(_))
 }
 
-/// With repeats that reach a process that runs, no order runs a request outside its window.
+/// If no process stops while an attempt is in transit, the request never runs outside its window.
 #[test]
-fn no_order_runs_a_keyed_request_outside_its_window() {
-    let (bad, tried) = bad_orders(|step| !stops_on_the_way(&step));
-    assert!(tried > 10_000, "{tried} orders");
-    assert!(bad.is_empty(), "{} of {tried} orders, the first: {:?}", bad.len(), bad[0]);
+fn keyed_request_never_runs_outside_its_window() {
+    let (bad, tried) = bad_sequences(|step| !stops_in_transit(&step));
+    assert!(tried > 10_000, "{tried} sequences");
+    assert!(bad.is_empty(), "{} of {tried} sequences, the first: {:?}", bad.len(), bad[0]);
 }
 
-/// What no router can exclude: the process of a repeat stops between its sign of life and the arrival of the bytes.
+/// No router can exclude that a process stops between its sign of life and the arrival of a repeat.
 #[test]
-fn only_a_process_that_stops_on_the_way_of_a_repeat_runs_it_late() {
-    let (bad, _) = bad_orders(|_| true);
+fn only_a_process_that_stops_while_a_repeat_is_in_transit_runs_it_late() {
+    let (bad, _) = bad_sequences(|_| true);
     assert!(!bad.is_empty());
-    let other = bad.iter().find(|order| {
-        let sends = order.iter().filter(|step| matches!(step, Step::Send(_) | Step::SendAndStop(_)));
-        !sends.skip(1).any(stops_on_the_way)
+    let other = bad.iter().find(|sequence| {
+        let sends = sequence.iter().filter(|step| matches!(step, Step::Send(_) | Step::SendAndStop(_)));
+        !sends.skip(1).any(stops_in_transit)
     });
     assert!(other.is_none(), "{other:?}");
 }
