--- a/fleet/src/adaptive_limit.rs
+++ b/fleet/src/adaptive_limit.rs
@@ -22,7 +22,7 @@
 /// How many even shares of the limit a router gets, at least one, from the requests a second that reach it (`rate`) and
 /// the sum of the tenants' shares. Traffic is uneven, and a router with twenty times the mean would otherwise refuse
 /// most of it. The shares of all routers add up to at most twice the limit, however uneven the traffic, while all
-/// requests together are at most [`RETRY_FACTOR`] times the tenants' shares.
+/// requests together are at most `RETRY_FACTOR` times the tenants' shares.
 pub fn traffic_weight(rate: f64, shares: f64, routers: u32) -> f64 {
     let routers = f64::from(routers.max(1));
     if shares > 0.0 { (rate * routers / (shares * RETRY_FACTOR)).clamp(1.0, routers) } else { 1.0 }
