--- a/scale/src/changes.rs
+++ b/scale/src/changes.rs
@@ -1,69 +1,73 @@
-//! Changes of the list: when each was written at discovery, and when the last router had it in force.
+//! Tracks changes of the server list: when each was written at discovery, and when the last router applied it.
 
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Times are kept in microseconds, to three digits.
-const DIGITS: u8 = 3;
-/// A change that takes longer counts as this long.
-const LONGEST_US: u64 = 600_000_000;
+/// Precision of recorded times, in significant digits.
+const TIME_DIGITS: u8 = 3;
+/// Longest recorded time, in microseconds; longer ones count as this.
+const MAX_TIME_US: u64 = 600_000_000;
 
 struct Change {
     written: Instant,
-    last: Instant,
-    seen: usize,
+    last_applied: Instant,
+    applied_by: usize,
 }
 
-/// Drains that are on their way, by server. A server drains again only when all routers have heard, or after a while.
+/// Tracks drains of servers. A router's report counts for the latest drain of a server, so a server should drain again
+/// only when all routers have applied its last drain, or long after it.
 #[derive(Default)]
-pub struct Board {
+pub struct ChangeTracker {
     changes: Mutex<Vec<Change>>,
-    open: Mutex<HashMap<String, usize>>,
+    /// Index of each server's latest drain in `changes`.
+    latest: Mutex<HashMap<String, usize>>,
 }
 
-/// What became of the changes.
+/// How list changes reached the routers.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub struct Spread {
-    /// Changes written.
+    /// Number of changes written.
     pub changes: usize,
-    /// Those that every router had in force.
+    /// Number of changes that every router applied.
     pub complete: usize,
-    /// Time to the last router, in milliseconds: median, 99th percentile and most.
+    /// Time until the last router applied a change, in milliseconds: median, 99th percentile and maximum.
     pub last_router_ms: [f64; 3],
 }
 
-impl Board {
-    /// A server's drain is about to be written.
-    pub fn written(&self, server: &str) {
+impl ChangeTracker {
+    /// Call before a server's drain is written.
+    pub fn record_written(&self, server: &str) {
         let now = Instant::now();
         let mut changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
-        changes.push(Change { written: now, last: now, seen: 0 });
-        let place = changes.len() - 1;
-        self.open.lock().unwrap_or_else(PoisonError::into_inner).insert(server.to_owned(), place);
+        changes.push(Change { written: now, last_applied: now, applied_by: 0 });
+        let index = changes.len() - 1;
+        self.latest.lock().unwrap_or_else(PoisonError::into_inner).insert(server.to_owned(), index);
     }
 
-    /// A router has it in force.
-    pub fn seen(&self, server: &str) {
-        let place = self.open.lock().unwrap_or_else(PoisonError::into_inner).get(server).copied();
+    /// Call when a router has applied a server's drain.
+    pub fn record_applied(&self, server: &str) {
+        let index = self.latest.lock().unwrap_or_else(PoisonError::into_inner).get(server).copied();
         let mut changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(change) = place.and_then(|place| changes.get_mut(place)) {
-            change.seen += 1;
-            change.last = Instant::now();
+        if let Some(change) = index.and_then(|index| changes.get_mut(index)) {
+            change.applied_by += 1;
+            change.last_applied = Instant::now();
         }
     }
 
-    /// How the changes spread that were written after a moment, over so many routers.
-    pub fn spread(&self, after: Instant, routers: usize) -> Spread {
+    /// How the changes written since `start` reached so many routers.
+    pub fn spread(&self, start: Instant, routers: usize) -> Spread {
         let changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         let mut spread = Spread::default();
-        let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, LONGEST_US, DIGITS) else { return spread };
-        for change in changes.iter().filter(|change| change.written >= after) {
+        let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, MAX_TIME_US, TIME_DIGITS) else {
+            return spread;
+        };
+        for change in changes.iter().filter(|change| change.written >= start) {
             spread.changes += 1;
-            if change.seen >= routers {
+            if change.applied_by >= routers {
                 spread.complete += 1;
-                let took: Duration = change.last - change.written;
+                let took: Duration = change.last_applied - change.written;
                 times.saturating_record(took.as_micros() as u64);
             }
         }
--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -1,6 +1,6 @@
-//! A stand-in for discovery: the whole list, watches that are told of each change, and silence on demand.
+//! A stub of discovery: serves the server list, sends each change to watches, and can be made silent.
 
-use crate::counted::{Counted, Counts, Traffic};
+use crate::traffic::{CountedStream, Traffic, TrafficCounts};
 use bytes::Bytes;
 use http_body_util::{Either, Full, channel::Channel};
 use hyper::body::Incoming;
@@ -16,49 +16,50 @@
 use tokio::sync::{broadcast, watch};
 use tokio::task::JoinHandle;
 
-/// A watch says something at least this often.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Changes that a slow watch may be behind; after more it ends, and is opened anew.
-const BEHIND: usize = 4_096;
-const LINES_AHEAD: usize = 64;
+/// Longest pause of a watch; an empty line is sent after it.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Changes that a slow watch may be behind; beyond that it is ended, and its router opens a new one.
+const WATCH_LAG_LIMIT: usize = 4_096;
+/// Lines buffered for a router that reads its watch slowly.
+const WATCH_BUFFER_LINES: usize = 64;
 
 type Body = Either<Full<Bytes>, Channel<Bytes>>;
 
-/// Whether a worker takes work, as the list tells it.
+/// Whether a worker takes new requests, as the server list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It does.
+    /// It takes new requests.
     Active,
-    /// It finishes what it has.
+    /// It drains: it finishes its requests and takes no new ones.
     Leaving,
-    /// It was removed; told among changes only.
+    /// It was removed. Sent in changes only, never in a full list.
     Left,
 }
 
-/// One entry of the list.
+/// One entry of the server list.
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the worker.
     pub id: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub locality: String,
-    /// Its kind.
+    /// Reader or writer, as the settings name it.
     pub flavor: &'static str,
-    /// Its rack.
+    /// Number of its rack.
     pub cell: usize,
-    /// Whether it takes work.
+    /// Whether it takes new requests.
     pub phase: Phase,
-    /// Its relative size.
+    /// Relative size.
     pub size: f64,
-    /// Unix time of its start in milliseconds; 0 for long ago.
+    /// Unix time of its start, in milliseconds; 0 means long ago.
     pub up_since_ms: u64,
 }
 
 #[derive(Serialize)]
-struct News<'a> {
+struct ListUpdate<'a> {
     revision: u64,
     complete: bool,
     members: &'a [Member],
@@ -71,74 +72,74 @@
 }
 
 impl List {
-    fn whole(&self) -> Bytes {
-        line(&News { revision: self.revision, complete: true, members: &self.members })
+    fn snapshot(&self) -> Bytes {
+        encode_line(&ListUpdate { revision: self.revision, complete: true, members: &self.members })
     }
 }
 
-fn line(news: &News<'_>) -> Bytes {
-    let mut text = serde_json::to_vec(news).unwrap_or_default();
+fn encode_line(update: &ListUpdate<'_>) -> Bytes {
+    let mut text = serde_json::to_vec(update).unwrap_or_default();
     text.push(b'\n');
     Bytes::from(text)
 }
 
-/// The stand-in. Each of its listeners counts its own traffic.
+/// The stub of discovery. Each of its endpoints counts its own traffic.
 pub struct Discovery {
     list: Mutex<List>,
     changes: broadcast::Sender<Bytes>,
-    down: watch::Sender<bool>,
+    silent: watch::Sender<bool>,
 }
 
-/// One address of the stand-in.
-pub struct Door {
-    /// Where routers call.
+/// One address at which the stub listens.
+pub struct Endpoint {
+    /// Address for routers.
     pub address: SocketAddr,
     traffic: Arc<Traffic>,
     accepting: JoinHandle<()>,
 }
 
-impl Drop for Door {
+impl Drop for Endpoint {
     fn drop(&mut self) {
         self.accepting.abort();
     }
 }
 
-impl Door {
-    /// What has passed here so far.
-    pub fn counts(&self) -> Counts {
+impl Endpoint {
+    /// Traffic of this endpoint so far.
+    pub fn counts(&self) -> TrafficCounts {
         self.traffic.counts()
     }
 }
 
 impl Discovery {
-    /// A list with these members.
+    /// Starts with these members in the list.
     pub fn new(members: Vec<Member>) -> Arc<Self> {
         Arc::new(Discovery {
             list: Mutex::new(List { revision: 1, members }),
-            changes: broadcast::Sender::new(BEHIND),
-            down: watch::Sender::new(false),
+            changes: broadcast::Sender::new(WATCH_LAG_LIMIT),
+            silent: watch::Sender::new(false),
         })
     }
 
-    /// Opens an address.
-    pub async fn open(self: &Arc<Self>) -> std::io::Result<Door> {
+    /// Opens an endpoint on a free loopback port.
+    pub async fn listen(self: &Arc<Self>) -> std::io::Result<Endpoint> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let (address, traffic) = (listener.local_addr()?, Arc::<Traffic>::default());
         let accepting = tokio::spawn(accept(self.clone(), listener, traffic.clone()));
-        Ok(Door { address, traffic, accepting })
+        Ok(Endpoint { address, traffic, accepting })
     }
 
-    /// From now on it says nothing and takes no new call, or it is back.
-    pub fn set_down(&self, down: bool) {
-        self.down.send_replace(down);
+    /// While silent, it sends nothing and leaves new requests waiting.
+    pub fn set_silent(&self, silent: bool) {
+        self.silent.send_replace(silent);
     }
 
     /// Whether it is silent now.
-    pub fn is_down(&self) -> bool {
-        *self.down.borrow()
+    pub fn is_silent(&self) -> bool {
+        *self.silent.borrow()
     }
 
-    /// Changes entries and tells all watches.
+    /// Changes or adds entries, and sends the change to all watches.
     pub fn change(&self, changed: &[Member]) {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         list.revision += 1;
@@ -148,16 +149,16 @@
                 None => list.members.push(member.clone()),
             }
         }
-        let news = line(&News { revision: list.revision, complete: false, members: changed });
+        let update = encode_line(&ListUpdate { revision: list.revision, complete: false, members: changed });
         list.members.retain(|member| member.phase != Phase::Left);
-        // Nobody may watch yet.
-        let _ = self.changes.send(news);
+        // An error only means that no watch is open.
+        let _ = self.changes.send(update);
     }
 
-    /// The whole list, and what follows it: no change falls between the two.
-    fn follow(&self) -> (Bytes, broadcast::Receiver<Bytes>) {
+    /// A snapshot of the list and all changes after it; the lock keeps any change from falling between the two.
+    fn subscribe(&self) -> (Bytes, broadcast::Receiver<Bytes>) {
         let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        (list.whole(), self.changes.subscribe())
+        (list.snapshot(), self.changes.subscribe())
     }
 }
 
@@ -168,59 +169,60 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let wire = TokioIo::new(Counted::new(stream, traffic.clone()));
+        let io = TokioIo::new(CountedStream::new(stream, traffic.clone()));
         let (discovery, traffic) = (discovery.clone(), traffic.clone());
         tokio::spawn(async move {
-            let answer = service_fn(move |request| answer(discovery.clone(), traffic.clone(), request));
-            hyper::server::conn::http1::Builder::new().serve_connection(wire, answer).await
+            let service =
+                service_fn(move |request| handle_request(discovery.clone(), traffic.clone(), request));
+            hyper::server::conn::http1::Builder::new().serve_connection(io, service).await
         });
     }
 }
 
-async fn answer(
+async fn handle_request(
     discovery: Arc<Discovery>,
     traffic: Arc<Traffic>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    traffic.message();
-    // While it is down it stays silent: the call waits.
-    let _ = discovery.down.subscribe().wait_for(|down| !*down).await;
+    traffic.count_message();
+    // While discovery is silent, the request waits.
+    let _ = discovery.silent.subscribe().wait_for(|silent| !*silent).await;
     if request.uri().path() != "/v1/servers" {
         let mut response = Response::new(Either::Left(Full::default()));
         *response.status_mut() = StatusCode::NOT_FOUND;
         return Ok(response);
     }
-    let (whole, changes) = discovery.follow();
-    traffic.message();
+    let (snapshot, changes) = discovery.subscribe();
+    traffic.count_message();
     if request.uri().query().is_none_or(|query| !query.contains("watch=1")) {
-        return Ok(Response::new(Either::Left(Full::new(whole))));
+        return Ok(Response::new(Either::Left(Full::new(snapshot))));
     }
-    let (sender, body) = Channel::new(LINES_AHEAD);
-    tokio::spawn(watch_list(discovery, traffic, sender, whole, changes));
+    let (sender, body) = Channel::new(WATCH_BUFFER_LINES);
+    tokio::spawn(send_changes(discovery, traffic, sender, snapshot, changes));
     Ok(Response::new(Either::Right(body)))
 }
 
-async fn watch_list(
+async fn send_changes(
     discovery: Arc<Discovery>,
     traffic: Arc<Traffic>,
     mut sender: http_body_util::channel::Sender<Bytes>,
-    whole: Bytes,
+    snapshot: Bytes,
     mut changes: broadcast::Receiver<Bytes>,
 ) {
-    let mut next = whole;
-    let mut down = discovery.down.subscribe();
+    let mut next = snapshot;
+    let mut silent = discovery.silent.subscribe();
     loop {
-        let _ = down.wait_for(|down| !*down).await;
+        let _ = silent.wait_for(|silent| !*silent).await;
         if sender.send_data(next).await.is_err() {
             return;
         }
         next = tokio::select! {
-            news = changes.recv() => match news {
-                Ok(news) => news,
+            update = changes.recv() => match update {
+                Ok(update) => update,
                 Err(_) => return,
             },
-            () = tokio::time::sleep(HEARTBEAT) => Bytes::from_static(b"\n"),
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => Bytes::from_static(b"\n"),
         };
-        traffic.message();
+        traffic.count_message();
     }
 }
--- a/scale/src/faults.rs
+++ b/scale/src/faults.rs
@@ -1,56 +1,56 @@
-//! Failures of a point: racks, zones and regions that go and come back, and a discovery that falls silent.
+//! Faults of a point: outages of a rack, zone or region, and a silent discovery.
 
-use crate::changes::Board;
+use crate::changes::ChangeTracker;
 use crate::discovery::{Discovery, Member, Phase};
-use crate::layout::Place;
-use crate::plan::{Failing, Fault};
+use crate::layout::Placement;
+use crate::plan::{Fault, FaultKind};
 use crate::worker::Worker;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Discovery drops workers that went without a word after this time.
-const NOTICED_AFTER: Duration = Duration::from_secs(2);
+/// Time after which discovery removes workers that stopped without a drain.
+const REMOVAL_DELAY: Duration = Duration::from_secs(2);
 
-/// All that failures act on.
-pub struct Stage {
-    /// Where the workers stand.
-    pub places: Vec<Place>,
+/// Workers and discovery of a point, on which faults act.
+pub struct Cluster {
+    /// Role and location of each worker.
+    pub placements: Vec<Placement>,
     /// The workers.
     pub workers: Vec<Worker>,
-    /// Their entries as the list began.
+    /// The workers' entries in the first list.
     pub members: Vec<Member>,
-    /// The list.
+    /// The stub of discovery.
     pub discovery: Arc<Discovery>,
-    /// When changes were written and heard.
-    pub board: Arc<Board>,
+    /// Tracker of list changes.
+    pub tracker: Arc<ChangeTracker>,
 }
 
-/// Plays one failure from its beginning to its end.
-pub async fn play(stage: Arc<Stage>, fault: Fault) {
+/// Runs one fault from start to end.
+pub async fn run(cluster: Arc<Cluster>, fault: Fault) {
     tokio::time::sleep(Duration::from_secs_f64(fault.at_s)).await;
-    let lasts = Duration::from_secs_f64(fault.for_s);
-    if fault.kind == Failing::Discovery {
-        stage.discovery.set_down(true);
-        tokio::time::sleep(lasts).await;
-        // How long the last router takes to hear of what was missed shows in this change.
-        if let Some(last) = stage.members.last() {
-            stage.board.written(&last.id);
-            stage.discovery.change(&[Member { phase: Phase::Leaving, ..last.clone() }]);
+    let duration = Duration::from_secs_f64(fault.for_s);
+    if fault.kind == FaultKind::Discovery {
+        cluster.discovery.set_silent(true);
+        tokio::time::sleep(duration).await;
+        // The delay of this change shows how long the last router takes to catch up after the outage.
+        if let Some(last) = cluster.members.last() {
+            cluster.tracker.record_written(&last.id);
+            cluster.discovery.change(&[Member { phase: Phase::Leaving, ..last.clone() }]);
         }
-        return stage.discovery.set_down(false);
+        return cluster.discovery.set_silent(false);
     }
     let failing: Vec<usize> =
-        (0..stage.places.len()).filter(|at| stage.places[*at].fails_with(fault.kind)).collect();
-    failing.iter().for_each(|at| stage.workers[*at].set_up(false));
-    tokio::time::sleep(NOTICED_AFTER.min(lasts)).await;
-    tell(&stage, &failing, Phase::Left, 0);
-    tokio::time::sleep(lasts.saturating_sub(NOTICED_AFTER)).await;
-    failing.iter().for_each(|at| stage.workers[*at].set_up(true));
+        (0..cluster.placements.len()).filter(|index| cluster.placements[*index].hit_by(fault.kind)).collect();
+    failing.iter().for_each(|index| cluster.workers[*index].set_up(false));
+    tokio::time::sleep(REMOVAL_DELAY.min(duration)).await;
+    publish(&cluster, &failing, Phase::Left, 0);
+    tokio::time::sleep(duration.saturating_sub(REMOVAL_DELAY)).await;
+    failing.iter().for_each(|index| cluster.workers[*index].set_up(true));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    tell(&stage, &failing, Phase::Active, now.as_millis() as u64);
+    publish(&cluster, &failing, Phase::Active, now.as_millis() as u64);
 }
 
-fn tell(stage: &Stage, workers: &[usize], phase: Phase, up_since_ms: u64) {
-    let entry = |at: &usize| Member { phase, up_since_ms, ..stage.members[*at].clone() };
-    stage.discovery.change(&workers.iter().map(entry).collect::<Vec<_>>());
+fn publish(cluster: &Cluster, workers: &[usize], phase: Phase, up_since_ms: u64) {
+    let entry = |index: &usize| Member { phase, up_since_ms, ..cluster.members[*index].clone() };
+    cluster.discovery.change(&workers.iter().map(entry).collect::<Vec<_>>());
 }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -1,8 +1,8 @@
-//! Hollow routers: the router's core, list and servers' side, many to a thread, without clients' sockets.
+//! Hollow routers: the router's core, server list and server connections without client sockets, many on a thread.
 
-use crate::changes::Board;
+use crate::changes::ChangeTracker;
 use crate::plan::{Conditions, Size};
-use crate::settings::{BUDGET_S, settings};
+use crate::settings::{REQUEST_BUDGET_S, settings};
 use bytes::Bytes;
 use fawnstream::core::Core;
 use fawnstream::exchange::{Call, Exchange, Opening};
@@ -23,88 +23,88 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Conversations and shared beginnings that requests are drawn from.
-pub const SESSIONS: u64 = 100_000;
-/// See [`SESSIONS`].
-pub const BEGINNINGS: u64 = 200;
-/// How often hollow routers look whether they are to end.
-const LOOK: Duration = Duration::from_millis(50);
-/// Held for a request with no attempt out: what the settings say and this, on sockets.
-const HELD_MORE: Duration = Duration::from_millis(300);
+/// Number of sessions from which requests are drawn.
+pub const SESSION_COUNT: u64 = 100_000;
+/// Number of shared prompt prefixes from which requests are drawn.
+pub const PREFIX_COUNT: u64 = 200;
+/// Interval at which a thread checks whether it is to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A lease with no attempt out ends within `release_within` of the settings plus this grace, which sockets need.
+const LEASE_GRACE: Duration = Duration::from_millis(300);
 
 /// Why hollow routers cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum HollowError {
-    /// Their settings make no sense.
-    #[error("settings of a hollow router: {0}")]
+    /// Their settings are invalid.
+    #[error("invalid settings of a hollow router: {0}")]
     Settings(String),
-    /// No thread is to be had.
-    #[error("a thread for hollow routers: {0}")]
+    /// A thread cannot be started.
+    #[error("cannot start a thread for hollow routers: {0}")]
     Thread(std::io::Error),
 }
 
-/// How requests of hollow routers ended.
+/// How requests to hollow routers ended.
 #[derive(Debug, Default)]
-pub struct Ends {
-    /// Served.
+pub struct HollowAnswers {
+    /// Answered with a whole stream.
     pub served: AtomicU64,
     /// Refused or failed.
-    pub others: AtomicU64,
+    pub not_served: AtomicU64,
 }
 
-/// Hollow routers that run until this is stopped.
-pub struct Hollow {
+/// Hollow routers of a point, which run until [`HollowRouters::stop`].
+pub struct HollowRouters {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     /// How their requests ended.
-    pub ends: Arc<Ends>,
+    pub answers: Arc<HollowAnswers>,
 }
 
 /// What all hollow routers of a point share.
 #[derive(Clone)]
-struct Common {
+struct Shared {
     size: Size,
     conditions: Conditions,
     discovery: SocketAddr,
-    board: Arc<Board>,
+    tracker: Arc<ChangeTracker>,
     stop: Arc<AtomicBool>,
-    ends: Arc<Ends>,
+    answers: Arc<HollowAnswers>,
 }
 
-impl Hollow {
-    /// Starts all routers of a point that are not real, over so many threads.
+impl HollowRouters {
+    /// Starts all hollow routers of a point, spread over so many threads.
     pub fn start(
         size: &Size,
         conditions: &Conditions,
         discovery: SocketAddr,
-        board: Arc<Board>,
+        tracker: Arc<ChangeTracker>,
         threads: usize,
     ) -> Result<Self, HollowError> {
-        // Checked once here, where it can be told.
-        parts(size, size.real)?;
-        let common = Common {
+        // Checked here, because the threads cannot return an error.
+        router_settings(size, size.real)?;
+        let shared = Shared {
             size: size.clone(),
             conditions: conditions.clone(),
             discovery,
-            board,
+            tracker,
             stop: Arc::default(),
-            ends: Arc::default(),
+            answers: Arc::default(),
         };
-        let (stop, ends) = (common.stop.clone(), common.ends.clone());
+        let (stop, answers) = (shared.stop.clone(), shared.answers.clone());
         let start = |thread: usize| {
-            let common = common.clone();
+            let shared = shared.clone();
             let numbers = (size.real..size.routers).filter(move |number| number % threads == thread);
-            let host = move || {
+            let run = move || {
                 fawnstream::log::mute();
-                actix_rt::System::new().block_on(host(common, numbers.collect()));
+                actix_rt::System::new().block_on(run_routers(shared, numbers.collect()));
             };
-            std::thread::Builder::new().name(format!("hollow-{thread}")).spawn(host)
+            std::thread::Builder::new().name(format!("hollow-{thread}")).spawn(run)
         };
         let threads = (0..threads).map(start).collect::<Result<_, _>>().map_err(HollowError::Thread)?;
-        Ok(Hollow { stop, threads, ends })
+        Ok(HollowRouters { stop, threads, answers })
     }
 
-    /// Ends them all.
+    /// Stops all routers and waits for their threads.
     pub fn stop(self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -113,9 +113,9 @@
     }
 }
 
-type Parts = (shedrelay::Settings, shedrelay_settings::Names, shedrelay_settings::Links);
+type RouterSettings = (shedrelay::Settings, shedrelay_settings::Names, shedrelay_settings::Links);
 
-fn parts(size: &Size, router: usize) -> Result<Parts, HollowError> {
+fn router_settings(size: &Size, router: usize) -> Result<RouterSettings, HollowError> {
     let wire: shedrelay_settings::Wire = serde_json::from_value(settings(size, router))
         .map_err(|error| HollowError::Settings(error.to_string()))?;
     let links = wire.links();
@@ -123,68 +123,69 @@
     Ok((settings, names, links))
 }
 
-async fn host(common: Common, numbers: Vec<usize>) {
+async fn run_routers(shared: Shared, numbers: Vec<usize>) {
     for number in numbers {
-        // Started one after the other, as a fleet is, and not in one turn.
+        // Yields between starts, so that routers start one after another as in a real fleet.
         tokio::task::yield_now().await;
-        if let Some(core) = router(&common, number) {
-            actix_rt::spawn(ask(common.clone(), core, number));
+        if let Some(core) = start_router(&shared, number) {
+            actix_rt::spawn(send_requests(shared.clone(), core, number));
         }
     }
-    while !common.stop.load(Ordering::Relaxed) {
-        actix_rt::time::sleep(LOOK).await;
+    while !shared.stop.load(Ordering::Relaxed) {
+        actix_rt::time::sleep(STOP_CHECK_INTERVAL).await;
     }
 }
 
-/// One hollow router, following the list. None where its settings make no sense, which was checked before.
-fn router(common: &Common, number: usize) -> Option<Rc<Core>> {
-    let (settings, names, links) = parts(&common.size, number).ok()?;
-    let seed = common.conditions.seed.wrapping_add(number as u64);
+/// Starts one hollow router, which follows the server list. None if its settings are invalid, which
+/// [`HollowRouters::start`] has checked.
+fn start_router(shared: &Shared, number: usize) -> Option<Rc<Core>> {
+    let (settings, names, links) = router_settings(&shared.size, number).ok()?;
+    let seed = shared.conditions.seed.wrapping_add(number as u64);
     let terms = Terms {
         within: Duration::from_nanos(links.release_within.0),
-        grace: HELD_MORE,
+        grace: LEASE_GRACE,
         close_arrives_within: close_arrives_within(links),
         at_once: 2,
         seed,
     };
     let calls = Calls::new(settings.routers, seed);
     let core = Core::new(settings, names, terms, seed, None).ok()?;
-    let sockets = common.conditions.hollow_sockets;
+    let sockets = shared.conditions.hollow_sockets;
     core.connect(Fleet::new(core.clone(), links, sockets, terms, Handover::new(false)));
-    let (listed, board) = (core.clone(), common.board.clone());
-    let hear = move |update: Update| {
-        let drains = update.entries.iter().filter(|entry| entry.state == ServerState::Leaving);
-        let drains: Vec<String> = drains.map(|entry| entry.id.clone()).collect();
-        listed.listed(update);
-        drains.iter().for_each(|server| board.seen(server));
+    let (updated_core, tracker) = (core.clone(), shared.tracker.clone());
+    let on_update = move |update: Update| {
+        let draining = update.entries.iter().filter(|entry| entry.state == ServerState::Leaving);
+        let draining: Vec<String> = draining.map(|entry| entry.id.clone()).collect();
+        updated_core.listed(update);
+        draining.iter().for_each(|server| tracker.record_applied(server));
     };
-    let discovery = common.discovery;
+    let discovery = shared.discovery;
     actix_rt::spawn(async move {
-        let told = tokio::sync::watch::Sender::new(discovery);
-        follow(told.subscribe(), 0, calls, Manner::Pushed, hear).await;
+        let address = tokio::sync::watch::Sender::new(discovery);
+        follow(address.subscribe(), 0, calls, Manner::Pushed, on_update).await;
     });
     Some(core)
 }
 
-/// Asks for as many requests a second as the point says, at random times.
-async fn ask(common: Common, core: Rc<Core>, number: usize) {
-    let rate = common.size.hollow_requests_per_s;
+/// Sends requests at the rate of the point, at random times.
+async fn send_requests(shared: Shared, core: Rc<Core>, number: usize) {
+    let rate = shared.size.hollow_requests_per_s;
     if rate <= 0.0 {
         return;
     }
-    let mut random = Pcg64::seed_from_u64(common.conditions.seed ^ (number as u64) << 32);
+    let mut random = Pcg64::seed_from_u64(shared.conditions.seed ^ (number as u64) << 32);
     let mut count = 0_u64;
     loop {
-        let gap = -(1.0 - random.random::<f64>()).ln() / rate;
-        actix_rt::time::sleep(Duration::from_secs_f64(gap)).await;
+        let interval = -(1.0 - random.random::<f64>()).ln() / rate;
+        actix_rt::time::sleep(Duration::from_secs_f64(interval)).await;
         count += 1;
-        let call = call(&common.size, &mut random, format!("{:016x}", (number as u64) << 40 | count));
-        let Some(mut end) = core.submit(Exchange::new(call)) else { continue };
-        let ends = common.ends.clone();
+        let call = new_call(&shared.size, &mut random, format!("{:016x}", (number as u64) << 40 | count));
+        let Some(mut answer) = core.submit(Exchange::new(call)) else { continue };
+        let answers = shared.answers.clone();
         actix_rt::spawn(async move {
-            let whole = match end.opening().await {
+            let complete = match answer.opening().await {
                 Opening::Stream => loop {
-                    match poll_fn(|cx| end.poll_piece(cx)).await {
+                    match poll_fn(|cx| answer.poll_piece(cx)).await {
                         Some(Ok(_)) => {}
                         Some(Err(_)) => break false,
                         None => break true,
@@ -192,24 +193,24 @@
                 },
                 _ => false,
             };
-            let count = if whole { &ends.served } else { &ends.others };
+            let count = if complete { &answers.served } else { &answers.not_served };
             count.fetch_add(1, Ordering::Relaxed);
         });
     }
 }
 
-fn call(size: &Size, random: &mut Pcg64, label: String) -> Call {
+fn new_call(size: &Size, random: &mut Pcg64, label: String) -> Call {
     Call {
         label,
-        session: Some(Key(1 + random.next_u64() % SESSIONS)),
-        prefix: Some(Key(1 + random.next_u64() % BEGINNINGS)),
+        session: Some(Key(1 + random.next_u64() % SESSION_COUNT)),
+        prefix: Some(Key(1 + random.next_u64() % PREFIX_COUNT)),
         prefix_len: 400.0,
         prompt_len: 800.0,
         max_out: 200.0,
         class: ClassId(random.random_range(0..size.models)),
         tenant: Some(TenantId(random.random_range(0..size.tenants))),
         arrived: Instant::now(),
-        budget: Duration::from_secs_f64(BUDGET_S),
+        budget: Duration::from_secs_f64(REQUEST_BUDGET_S),
         idempotency_key: None,
         target: "/v1/chat/completions".to_owned(),
         body: Bytes::from_static(b"{\"model\":\"m\",\"stream\":true}"),
--- a/scale/src/layout.rs
+++ b/scale/src/layout.rs
@@ -1,54 +1,55 @@
-//! Which workers there are, what each does and where it stands.
+//! The workers of a point: the role, rack, zone and region of each.
 
-use crate::plan::{Conditions, Failing, Size};
+use crate::plan::{Conditions, FaultKind, Size};
 
-/// Flavors as the settings name them.
-pub const READER: &str = "reads";
-/// See [`READER`].
-pub const WRITER: &str = "writes";
+/// Flavor of readers in the settings.
+pub const READER_FLAVOR: &str = "reads";
+/// Flavor of writers in the settings.
+pub const WRITER_FLAVOR: &str = "writes";
 
-/// One hollow worker's place.
+/// Role and location of one hollow worker.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// Its name in the list.
+pub struct Placement {
+    /// Name in the server list.
     pub id: String,
-    /// It reads prompts; else it writes answers.
-    pub reads: bool,
-    /// Its rack, which is its cell.
+    /// Whether it is a reader; else it is a writer.
+    pub is_reader: bool,
+    /// Number of its rack, which is its cell.
     pub rack: usize,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: usize,
-    /// Its zone's region.
+    /// Number of its region.
     pub region: usize,
 }
 
-impl Place {
-    /// What it does, as the list tells it.
+impl Placement {
+    /// Its flavor in the server list.
     pub fn flavor(&self) -> &'static str {
-        if self.reads { READER } else { WRITER }
+        if self.is_reader { READER_FLAVOR } else { WRITER_FLAVOR }
     }
 
-    /// Whether a failure of this kind, at the first rack, zone or region, takes it down.
-    pub fn fails_with(&self, kind: Failing) -> bool {
+    /// Whether a fault of this kind takes it down. Faults hit the first rack, zone or region.
+    pub fn hit_by(&self, kind: FaultKind) -> bool {
         match kind {
-            Failing::Rack => self.rack == 0,
-            Failing::Zone => self.zone == 0,
-            Failing::Region => self.region == 0,
-            Failing::Discovery => false,
+            FaultKind::Rack => self.rack == 0,
+            FaultKind::Zone => self.zone == 0,
+            FaultKind::Region => self.region == 0,
+            FaultKind::Discovery => false,
         }
     }
 }
 
-/// The workers of a point. Racks lie within zones, zones within regions; each has about the same share of readers.
-pub fn places(size: &Size, conditions: &Conditions) -> Vec<Place> {
+/// Places the workers of a point. Each rack is in one zone and each zone in one region; all have about the same share
+/// of readers.
+pub fn placements(size: &Size, conditions: &Conditions) -> Vec<Placement> {
     let readers =
         ((size.servers as f64 * conditions.reader_share).round() as usize).clamp(1, size.servers - 1);
-    let place = |number: usize| {
-        // Readers are spread evenly: the count of them grows with the number.
-        let reads = (number + 1) * readers / size.servers > number * readers / size.servers;
+    let placement = |number: usize| {
+        // Spreads readers evenly: a worker is a reader where the rounded-down number of readers so far grows.
+        let is_reader = (number + 1) * readers / size.servers > number * readers / size.servers;
         let rack = number / conditions.rack;
         let zone = rack % size.zones;
-        Place { id: format!("s{number:04}"), reads, rack, zone, region: zone % conditions.regions }
+        Placement { id: format!("s{number:04}"), is_reader, rack, zone, region: zone % conditions.regions }
     };
-    (0..size.servers).map(place).collect()
+    (0..size.servers).map(placement).collect()
 }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,30 +1,30 @@
-//! `fawnstream-scale`: plays a plan of sizes and prints what routers cost there.
+//! `fawnstream-scale`: runs a plan of deployment sizes and prints what routers cost at each.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use clap::Parser;
 use fawnstream_scale::plan::{Plan, PlanError};
-use fawnstream_scale::point::{Bench, PointError};
-use fawnstream_scale::process::{ROLE, ROUTER};
+use fawnstream_scale::point::{PointError, PointRunner};
+use fawnstream_scale::process::{ROLE_VARIABLE, ROUTER_ROLE};
 use fawnstream_scale::report::{Point, Report, ReportError};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs routers among hollow workers and hollow routers, at the sizes that a plan names, and fits what they cost.
+/// Measures what routers cost at the deployment sizes of a plan, and fits lines to the results.
 #[derive(Parser)]
 #[command(name = "fawnstream-scale", version)]
 struct Arguments {
     /// The plan, a TOML file
     plan: PathBuf,
-    /// The built router; this program plays it without one
+    /// The router program; without it this program runs as the router
     #[arg(long, value_name = "FILE")]
     router: Option<PathBuf>,
-    /// Where all results go as JSON
+    /// File for all results, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Where the figures of all points go as CSV
+    /// File for the figures of all points, as CSV
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
 }
@@ -37,7 +37,7 @@
     Point(#[from] PointError),
     #[error(transparent)]
     Report(#[from] ReportError),
-    #[error("the runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
     #[error("interrupted")]
     Interrupted,
@@ -48,11 +48,11 @@
 }
 
 fn main() -> ExitCode {
-    let done = match std::env::var(ROLE).as_deref() {
-        Ok(ROUTER) => route(),
-        _ => run(),
+    let result = match std::env::var(ROLE_VARIABLE).as_deref() {
+        Ok(ROUTER_ROLE) => run_router(),
+        _ => run_plan(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("fawnstream-scale: {failure}");
@@ -61,12 +61,12 @@
     }
 }
 
-/// This process is one of the real routers of a run.
-fn route() -> Result<(), Failure> {
+/// Runs this process as one of the real routers.
+fn run_router() -> Result<(), Failure> {
     actix_rt::System::new().block_on(fawnstream::program::run(None)).map_err(Failure::from)
 }
 
-fn arguments() -> Result<Arguments, Failure> {
+fn parse_arguments() -> Result<Arguments, Failure> {
     Arguments::try_parse().map_err(|error| {
         if !error.use_stderr() {
             error.exit();
@@ -77,19 +77,19 @@
     })
 }
 
-fn run() -> Result<(), Failure> {
-    let arguments = arguments()?;
+fn run_plan() -> Result<(), Failure> {
+    let arguments = parse_arguments()?;
     let plan = Plan::load(&arguments.plan)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .map_err(Failure::Runtime)?;
-    let points = runtime.block_on(play(&plan, arguments.router))?;
-    // What is still open at workers and watches is of no use any more.
+    let points = runtime.block_on(run_points(&plan, arguments.router))?;
+    // Does not wait for worker connections and watches that are still open.
     runtime.shutdown_background();
     let report = Report::new(plan, points);
-    print!("{}", report.rows());
+    print!("{}", report.to_markdown());
     if let Some(path) = &arguments.json {
         report.write_json(path)?;
     }
@@ -99,8 +99,8 @@
     Ok(())
 }
 
-/// SIGINT or SIGTERM.
-async fn told_to_end() {
+/// Returns on SIGINT or SIGTERM.
+async fn stop_signal() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else { return std::future::pending().await };
     tokio::select! {
         _ = terminate.recv() => {}
@@ -108,8 +108,8 @@
     }
 }
 
-async fn play(plan: &Plan, program: Option<PathBuf>) -> Result<Vec<Point>, Failure> {
-    let bench = Bench { program, conditions: &plan.conditions, faults: &plan.fault };
+async fn run_points(plan: &Plan, program: Option<PathBuf>) -> Result<Vec<Point>, Failure> {
+    let runner = PointRunner { program, conditions: &plan.conditions, faults: &plan.fault };
     let sizes = plan.points();
     let bar = ProgressBar::new(sizes.len() as u64);
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} {elapsed} {msg}") {
@@ -117,12 +117,12 @@
     }
     let mut points = Vec::new();
     for (vary, size) in sizes {
-        let what = vary.map_or_else(String::new, |vary| format!("{} {}", vary.name(), vary.of(&size)));
-        bar.set_message(what);
-        // A point that is given up takes its processes with it.
+        let label = vary.map_or_else(String::new, |vary| format!("{} {}", vary.name(), vary.value_in(&size)));
+        bar.set_message(label);
+        // Dropping the point on a signal also ends its processes.
         let result = tokio::select! {
-            result = bench.play(&size) => result?,
-            () = told_to_end() => return Err(Failure::Interrupted),
+            result = runner.run(&size) => result?,
+            () = stop_signal() => return Err(Failure::Interrupted),
         };
         points.push(Point { vary, result });
         bar.inc(1);
--- a/scale/src/measure.rs
+++ b/scale/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a router process uses: from the system, and from its own metrics.
+//! Measures a router process: CPU time, memory and descriptors from the system, the rest from its own metrics.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Empty};
@@ -7,35 +7,36 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A router that is busy may not answer an operator at once.
-const TRIES: usize = 5;
-const BETWEEN_TRIES: Duration = Duration::from_millis(200);
+/// Tries to read the metrics: a busy router may not answer operators at once.
+const METRICS_TRIES: usize = 5;
+/// Time between two tries.
+const METRICS_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The system tells nothing of the process: it has ended.
+    /// The system has no figures of the process, because it has ended.
     #[error("process {0} has ended")]
     Process(u32),
-    /// Its metrics cannot be read.
+    /// The router's metrics cannot be read.
     #[error("metrics of {0} cannot be read: {1}")]
     Metrics(SocketAddr, String),
 }
 
-/// A process at one moment.
+/// Figures of a router process at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When.
+    /// Time of the sample.
     pub at: Instant,
-    /// Processor time spent so far, in seconds.
+    /// CPU time so far, in seconds.
     pub cpu_s: f64,
-    /// Memory in use now, in MB.
+    /// Resident memory, in MB.
     pub memory_mb: f64,
-    /// The most that it ever was.
+    /// Peak resident memory, in MB.
     pub peak_mb: f64,
     /// Open descriptors.
     pub descriptors: usize,
-    /// Time spent on decisions so far, in seconds, and their number.
+    /// Decisions so far: total time in seconds, and count.
     pub decisions: (f64, f64),
     /// Attempts sent so far.
     pub attempts: f64,
@@ -45,22 +46,22 @@
 pub async fn sample(process: u32, operators: SocketAddr) -> Result<Sample, MeasureError> {
     let mut tries = 1;
     let metrics = loop {
-        match metrics(operators).await {
+        match fetch_metrics(operators).await {
             Ok(text) => break text,
-            Err(error) if tries >= TRIES => return Err(MeasureError::Metrics(operators, error)),
-            Err(_) => tokio::time::sleep(BETWEEN_TRIES).await,
+            Err(error) if tries >= METRICS_TRIES => return Err(MeasureError::Metrics(operators, error)),
+            Err(_) => tokio::time::sleep(METRICS_RETRY_DELAY).await,
         }
         tries += 1;
     };
-    let of = |name: &str| value(&metrics, name).unwrap_or_default();
-    let decisions = (of("router_decision_seconds_sum"), of("router_decision_seconds_count"));
-    let attempts = of("router_dispatches");
-    system(process, decisions, attempts).ok_or(MeasureError::Process(process))
+    let metric = |name: &str| metric_value(&metrics, name).unwrap_or_default();
+    let decisions = (metric("router_decision_seconds_sum"), metric("router_decision_seconds_count"));
+    let attempts = metric("router_dispatches");
+    sample_process(process, decisions, attempts).ok_or(MeasureError::Process(process))
 }
 
-fn system(process: u32, decisions: (f64, f64), attempts: f64) -> Option<Sample> {
+fn sample_process(process: u32, decisions: (f64, f64), attempts: f64) -> Option<Sample> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // The name may hold spaces; fields are counted behind it, from the third on.
+    // The process name may contain spaces, so fields are counted after it, beginning with the third.
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
@@ -79,24 +80,24 @@
     })
 }
 
-async fn metrics(operators: SocketAddr) -> Result<String, String> {
+async fn fetch_metrics(operators: SocketAddr) -> Result<String, String> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
-    let uri = format!("http://{operators}/status/metrics").parse().map_err(told)?;
-    let answer = client.get(uri).await.map_err(told)?;
-    let body = answer.into_body().collect().await.map_err(told)?.to_bytes();
-    String::from_utf8(body.into()).map_err(told)
+    let uri = format!("http://{operators}/status/metrics").parse().map_err(error_text)?;
+    let answer = client.get(uri).await.map_err(error_text)?;
+    let body = answer.into_body().collect().await.map_err(error_text)?.to_bytes();
+    String::from_utf8(body.into()).map_err(error_text)
 }
 
-/// An error with what caused it.
-fn told(error: impl std::error::Error) -> String {
+/// The text of an error and its cause.
+fn error_text(error: impl std::error::Error) -> String {
     match error.source() {
         Some(cause) => format!("{error}: {cause}"),
         None => error.to_string(),
     }
 }
 
-/// A metric without labels.
-fn value(metrics: &str, name: &str) -> Option<f64> {
+/// The value of a metric without labels.
+fn metric_value(metrics: &str, name: &str) -> Option<f64> {
     let lines = metrics.lines().filter_map(|line| line.split_once(' '));
     lines.filter(|(key, _)| *key == name).find_map(|(_, value)| value.trim().parse().ok())
 }
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -1,15 +1,15 @@
-//! The file that describes a run.
+//! The plan file of a run: deployment sizes, conditions, sweeps and faults.
 
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
-/// No run lasts longer than this for one point, in seconds.
-const LONGEST_POINT: f64 = 900.0;
-/// No run has more routers or servers than this: all share one machine.
-const MOST: usize = 4_096;
-/// Real router processes at most.
-const MOST_REAL: usize = 16;
-/// Descriptors beside those that are counted: standard streams, timers, logs.
+/// Longest warm-up and measurement of one point, in seconds.
+const MAX_POINT_S: f64 = 900.0;
+/// Most routers and most servers of a run; all share one machine.
+const MAX_ROUTERS_OR_SERVERS: usize = 4_096;
+/// Most real router processes of a run.
+const MAX_REAL_ROUTERS: usize = 16;
+/// Descriptors of standard streams, timers and logs, which are not counted one by one.
 const SPARE_DESCRIPTORS: usize = 200;
 
 /// Why a plan cannot be run.
@@ -17,79 +17,79 @@
 pub enum PlanError {
     /// The file cannot be read.
     #[error("{path}: {error}")]
-    File {
-        /// Its path.
+    Read {
+        /// The plan file.
         path: PathBuf,
-        /// What went wrong.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// The file is no plan: a key is unknown, missing or of the wrong type.
+    /// The file is not TOML, or a key is unknown, missing or of the wrong type.
     #[error("{path}: {problem}")]
-    Form {
-        /// Its path.
+    Syntax {
+        /// The plan file.
         path: PathBuf,
-        /// The first line of what is wrong.
+        /// First line of the parser's message.
         problem: String,
     },
-    /// A value is out of its bounds.
+    /// A value is out of bounds.
     #[error("{key}: {problem}")]
     Value {
-        /// The key.
+        /// Key or table of the value.
         key: &'static str,
-        /// What is wrong with it.
+        /// The bound that it breaks.
         problem: String,
     },
 }
 
-/// The size of one point.
+/// Deployment size at one point.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Workers in the list.
+    /// Workers in the server list.
     pub servers: usize,
-    /// Routers, real ones among them.
+    /// All routers, real and hollow.
     pub routers: usize,
     /// Real router processes.
     pub real: usize,
-    /// Requests a second at each real router.
+    /// Requests per second at each real router.
     pub requests_per_s: f64,
-    /// Requests a second at each hollow router.
+    /// Requests per second at each hollow router.
     pub hollow_requests_per_s: f64,
-    /// Customers in the settings.
+    /// Tenants in the settings.
     pub tenants: usize,
-    /// Models; the settings tell each as a class of its own.
+    /// Models; each is a class of its own in the settings.
     pub models: usize,
-    /// Zones over which workers are spread evenly.
+    /// Zones; workers are spread evenly over them.
     pub zones: usize,
-    /// Changes of the list in a minute.
+    /// Changes of the server list per minute.
     pub changes_per_min: f64,
 }
 
-/// How long a point lasts and how its traffic looks.
+/// Duration and traffic, the same for all points of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Conditions {
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Seconds before anything is measured.
+    /// Warm-up before the measurement, in seconds.
     pub warmup_s: f64,
-    /// Seconds that are measured.
+    /// Length of the measurement, in seconds.
     pub seconds: f64,
-    /// Share of the workers that read prompts.
+    /// Share of workers that are readers.
     pub reader_share: f64,
-    /// Regions over which zones are spread evenly.
+    /// Regions; zones are spread evenly over them.
     pub regions: usize,
-    /// Workers of a rack; all of a rack are one cell.
+    /// Workers per rack; each rack is one cell.
     pub rack: usize,
-    /// Descriptors told to a real router.
+    /// Descriptor limit in the configuration of a real router.
     pub sockets: usize,
-    /// Connections to workers that a hollow router may hold.
+    /// Most connections from a hollow router to workers.
     pub hollow_sockets: usize,
-    /// How long a read takes, in milliseconds.
+    /// Time until a worker begins its answer, in milliseconds.
     pub read_ms: u64,
-    /// Events of a stream.
+    /// Token events of a stream.
     pub events: usize,
-    /// Time between two of them, in milliseconds.
+    /// Time between two events, in milliseconds.
     pub event_ms: u64,
 }
 
@@ -114,7 +114,7 @@
 }
 
 impl Quantity {
-    /// Its name in the file.
+    /// Name in the plan file.
     pub fn name(self) -> &'static str {
         match self {
             Quantity::Servers => "servers",
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Its value in a size.
-    pub fn of(self, size: &Size) -> f64 {
+    /// Value of this quantity in `size`.
+    pub fn value_in(self, size: &Size) -> f64 {
         match self {
             Quantity::Servers => size.servers as f64,
             Quantity::Routers => size.routers as f64,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// The size with this value in its place.
-    pub fn set(self, size: &Size, value: f64) -> Size {
+    /// Copy of `size` in which this quantity has the given value.
+    pub fn with_value(self, size: &Size, value: f64) -> Size {
         let mut size = size.clone();
         match self {
             Quantity::Servers => size.servers = value as usize,
@@ -156,66 +156,66 @@
     }
 }
 
-/// One quantity, varied while all others stay.
+/// One quantity that varies while all others keep their base values.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// What varies.
+    /// The quantity.
     pub vary: Quantity,
-    /// Its values.
+    /// Values that it takes.
     pub values: Vec<f64>,
 }
 
-/// What fails.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Failing {
+pub enum FaultKind {
     /// All workers of one rack.
     Rack,
     /// All workers of one zone.
     Zone,
     /// All workers of one region.
     Region,
-    /// Discovery says nothing and takes no new call.
+    /// Discovery sends nothing and answers no new request.
     Discovery,
 }
 
-/// A failure and its end.
+/// A failure that begins and ends during the measurement.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What fails.
-    pub kind: Failing,
-    /// Seconds after the measurement begins.
+    pub kind: FaultKind,
+    /// Start, in seconds after the measurement begins.
     pub at_s: f64,
-    /// For how long, in seconds.
+    /// Duration, in seconds.
     pub for_s: f64,
 }
 
-/// A run.
+/// All that is set for a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The size from which each sweep varies one quantity.
+    /// Size of which each sweep varies one quantity.
     pub base: Size,
-    /// The size for which costs are worked out.
+    /// Size to which the fitted lines are extrapolated.
     pub target: Size,
-    /// What all points have in common.
+    /// Conditions of all points.
     pub conditions: Conditions,
-    /// Sweeps; without any the base alone is played.
+    /// Sweeps; without any, only the base size is run.
     #[serde(default)]
     pub sweep: Vec<Sweep>,
-    /// Failures during each point.
+    /// Faults during each point.
     #[serde(default)]
     pub fault: Vec<Fault>,
 }
 
 impl Plan {
-    /// Reads and checks a file.
+    /// Reads and checks a plan file.
     pub fn load(path: &Path) -> Result<Self, PlanError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|error| PlanError::File { path: path.to_owned(), error })?;
-        let plan: Plan = toml::from_str(&text).map_err(|error| PlanError::Form {
+            .map_err(|error| PlanError::Read { path: path.to_owned(), error })?;
+        let plan: Plan = toml::from_str(&text).map_err(|error| PlanError::Syntax {
             path: path.to_owned(),
             problem: error.message().lines().next().unwrap_or_default().to_owned(),
         })?;
@@ -223,14 +223,15 @@
         Ok(plan)
     }
 
-    /// The points that are played: what varies, its value, the size.
+    /// All points to run: the varied quantity, if any, and the size.
     pub fn points(&self) -> Vec<(Option<Quantity>, Size)> {
         if self.sweep.is_empty() {
             return vec![(None, self.base.clone())];
         }
         let points = |sweep: &Sweep| {
             let vary = sweep.vary;
-            let sizes = sweep.values.iter().map(move |value| (Some(vary), vary.set(&self.base, *value)));
+            let sizes =
+                sweep.values.iter().map(move |value| (Some(vary), vary.with_value(&self.base, *value)));
             sizes.collect::<Vec<_>>()
         };
         self.sweep.iter().flat_map(points).collect()
@@ -244,24 +245,29 @@
             self.check_descriptors(&size)?;
         }
         if self.sweep.iter().any(|sweep| sweep.values.len() < 2) {
-            return Err(wrong("sweep.values", "a line needs two values at least"));
+            return Err(value_error("sweep.values", "a sweep needs at least two values"));
         }
-        let past = |fault: &Fault| fault.at_s + fault.for_s > self.conditions.seconds;
-        if self.fault.iter().any(|fault| !positive(fault.at_s) || !positive(fault.for_s) || past(fault)) {
-            return Err(wrong("fault", "must begin and end within the seconds that are measured"));
+        let ends_late = |fault: &Fault| fault.at_s + fault.for_s > self.conditions.seconds;
+        if self
+            .fault
+            .iter()
+            .any(|fault| !is_positive(fault.at_s) || !is_positive(fault.for_s) || ends_late(fault))
+        {
+            return Err(value_error("fault", "must begin and end within the measured seconds"));
         }
         Ok(())
     }
 
-    /// Hollow parts share one process and its descriptors; each of their connections has both ends in it.
+    /// Hollow routers and workers share one process, so both ends of each of their connections count against its
+    /// descriptor limit.
     fn check_descriptors(&self, size: &Size) -> Result<(), PlanError> {
         let hollow = size.routers - size.real;
-        let links = 2 * hollow * self.conditions.hollow_sockets.min(size.servers);
+        let connection_ends = 2 * hollow * self.conditions.hollow_sockets.min(size.servers);
         let real = size.real * self.conditions.sockets;
-        let needed = SPARE_DESCRIPTORS + size.servers + links + 2 * size.routers + real;
+        let needed = SPARE_DESCRIPTORS + size.servers + connection_ends + 2 * size.routers + real;
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         match limit {
-            Some(limit) if needed as u64 > limit => Err(wrong(
+            Some(limit) if needed as u64 > limit => Err(value_error(
                 "conditions.hollow_sockets",
                 &format!("{needed} descriptors are needed and {limit} may be open"),
             )),
@@ -273,21 +279,21 @@
 impl Size {
     fn check(&self, key: &'static str) -> Result<(), PlanError> {
         let counts = [
-            ("servers", self.servers, 2, MOST),
-            ("routers", self.routers, 1, MOST),
-            ("real", self.real, 1, MOST_REAL.min(self.routers)),
+            ("servers", self.servers, 2, MAX_ROUTERS_OR_SERVERS),
+            ("routers", self.routers, 1, MAX_ROUTERS_OR_SERVERS),
+            ("real", self.real, 1, MAX_REAL_ROUTERS.min(self.routers)),
             ("tenants", self.tenants, 1, 100_000),
             ("models", self.models, 1, 1_000),
             ("zones", self.zones, 1, self.servers),
         ];
         for (name, value, least, most) in counts {
             if value < least || value > most {
-                return Err(wrong(key, &format!("{name} must be {least} to {most}, and is {value}")));
+                return Err(value_error(key, &format!("{name} must be {least} to {most}, and is {value}")));
             }
         }
         let rates = [self.requests_per_s, self.hollow_requests_per_s, self.changes_per_min];
         if rates.into_iter().any(|rate| !(0.0..=10_000.0).contains(&rate)) {
-            return Err(wrong(key, "rates must be 0 to 10000"));
+            return Err(value_error(key, "rates must be 0 to 10000"));
         }
         Ok(())
     }
@@ -296,26 +302,26 @@
 impl Conditions {
     fn check(&self) -> Result<(), PlanError> {
         let key = "conditions";
-        if !positive(self.seconds) || !(0.0..=LONGEST_POINT).contains(&self.warmup_s) {
-            return Err(wrong(key, "seconds must be above 0, warmup_s not below"));
+        if !is_positive(self.seconds) || !(0.0..=MAX_POINT_S).contains(&self.warmup_s) {
+            return Err(value_error(key, "seconds must be above 0, and warmup_s must not be negative"));
         }
-        if self.seconds + self.warmup_s > LONGEST_POINT {
-            return Err(wrong(key, &format!("a point lasts {LONGEST_POINT} s at most")));
+        if self.seconds + self.warmup_s > MAX_POINT_S {
+            return Err(value_error(key, &format!("a point lasts {MAX_POINT_S} s at most")));
         }
         if !(self.reader_share > 0.0 && self.reader_share < 1.0) {
-            return Err(wrong(key, "reader_share must be between 0 and 1"));
+            return Err(value_error(key, "reader_share must be between 0 and 1"));
         }
         if self.regions == 0 || self.rack == 0 || self.events == 0 || self.hollow_sockets == 0 {
-            return Err(wrong(key, "regions, rack, events and hollow_sockets must be 1 at least"));
+            return Err(value_error(key, "regions, rack, events and hollow_sockets must be at least 1"));
         }
         Ok(())
     }
 }
 
-fn positive(value: f64) -> bool {
+fn is_positive(value: f64) -> bool {
     value > 0.0 && value.is_finite()
 }
 
-fn wrong(key: &'static str, problem: &str) -> PlanError {
+fn value_error(key: &'static str, problem: &str) -> PlanError {
     PlanError::Value { key, problem: problem.to_owned() }
 }
--- a/scale/src/point.rs
+++ b/scale/src/point.rs
@@ -1,17 +1,17 @@
-//! One point: everything is started, left alone for the warm-up, measured, and taken down again.
+//! Runs one point: starts workers, discovery and routers, waits for the warm-up, measures, and stops everything.
 
-use crate::changes::{Board, Spread};
+use crate::changes::{ChangeTracker, Spread};
 use crate::clients::{Answers, Clients};
-use crate::counted::Counts;
-use crate::discovery::{Discovery, Door, Member, Phase};
-use crate::faults::{self, Stage};
-use crate::hollow::{Hollow, HollowError};
-use crate::layout::{Place, places};
+use crate::discovery::{Discovery, Endpoint, Member, Phase};
+use crate::faults::{self, Cluster};
+use crate::hollow::{HollowError, HollowRouters};
+use crate::layout::{Placement, placements};
 use crate::measure::{MeasureError, Sample, sample};
 use crate::plan::{Conditions, Fault, Size};
-use crate::process::{ProcessError, Router};
-use crate::settings::{configuration, zone};
-use crate::worker::{Pace, Work, Worker};
+use crate::process::{ProcessError, RouterProcess};
+use crate::settings::{router_config, zone_name};
+use crate::traffic::TrafficCounts;
+use crate::worker::{Timing, Worker, WorkerCounters};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use serde::Serialize;
@@ -21,60 +21,60 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Threads that hollow routers are spread over.
+/// Threads over which hollow routers are spread.
 const HOLLOW_THREADS: usize = 3;
-/// A worker that drained takes work again after this time.
-const DRAINED_FOR: Duration = Duration::from_secs(5);
-/// The last changes are left this long to arrive.
-const LAST_CHANGES: Duration = Duration::from_secs(4);
+/// Time after which a drained worker takes requests again.
+const DRAIN_TIME: Duration = Duration::from_secs(5);
+/// Wait after the measurement, in which the last list changes reach all routers.
+const LAST_CHANGES_WAIT: Duration = Duration::from_secs(4);
 
-/// Why a point could not be played.
+/// Why a point could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum PointError {
-    /// No folder or no socket.
+    /// A folder or a socket cannot be created.
     #[error("{what}: {error}")]
     Io {
-        /// What was wanted.
+        /// The step that failed.
         what: &'static str,
-        /// What went wrong.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// A router process.
+    /// A router process failed.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// Hollow routers.
+    /// Hollow routers cannot start.
     #[error(transparent)]
     Hollow(#[from] HollowError),
-    /// A measurement.
+    /// A router could not be measured.
     #[error(transparent)]
     Measure(#[from] MeasureError),
 }
 
-/// What one real router used, on the mean of all real ones, while it was measured.
+/// What one real router used during the measurement: means over the real routers, except where noted.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Processor time, in % of a core.
+    /// CPU time, in percent of a core.
     pub cpu_percent: f64,
-    /// The part of it spent on decisions.
+    /// CPU time spent on routing decisions, in percent of a core.
     pub decision_cpu_percent: f64,
-    /// One decision, in microseconds.
+    /// Time of one decision, in microseconds.
     pub decision_us: f64,
-    /// Decisions a second.
+    /// Decisions per second.
     pub decisions_per_s: f64,
-    /// Attempts sent a second.
+    /// Attempts sent per second.
     pub attempts_per_s: f64,
-    /// Memory, in MB: the most of any real router at any time.
+    /// Peak memory in MB; the maximum over the real routers.
     pub peak_memory_mb: f64,
-    /// Open descriptors: the most of any real router at the end.
+    /// Open descriptors at the end; the maximum over the real routers.
     pub descriptors: f64,
-    /// Bytes a second to and from discovery.
+    /// Bytes per second to and from discovery.
     pub discovery_bytes_per_s: f64,
-    /// Messages a second to and from discovery.
+    /// Messages per second to and from discovery.
     pub discovery_messages_per_s: f64,
 }
 
 impl Figures {
-    /// Each figure with its name.
+    /// All figures, each with its name.
     pub fn named(&self) -> [(&'static str, f64); 9] {
         [
             ("cpu_percent", self.cpu_percent),
@@ -92,234 +92,247 @@
 
 /// What was measured at one point.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
-    /// Its size.
+pub struct PointResult {
+    /// Deployment size.
     pub size: Size,
-    /// Seconds measured.
+    /// Length of the measurement, in seconds.
     pub seconds: f64,
-    /// The real routers.
+    /// What the real routers used.
     pub figures: Figures,
-    /// How changes of the list spread over all routers.
+    /// How list changes reached all routers.
     pub spread: Spread,
-    /// Requests to real routers: served, refused, failed.
+    /// Requests to real routers: served, refused and failed.
     pub answers: [u64; 3],
-    /// Requests to hollow routers: served, others.
+    /// Requests to hollow routers: served and not served.
     pub hollow_answers: [u64; 2],
-    /// Connections open at all workers at the end.
+    /// Open connections of all workers at the end.
     pub worker_connections: u64,
-    /// Releases that workers answered.
+    /// Releases answered by workers.
     pub releases: u64,
-    /// Bytes a second over all connections to workers.
+    /// Bytes per second over all worker connections.
     pub worker_bytes_per_s: f64,
 }
 
-/// What stays the same for all points of a run.
-pub struct Bench<'a> {
-    /// The built router; this program where there is none.
+/// Runs points; holds what all points of a run share.
+pub struct PointRunner<'a> {
+    /// The router program; without it this program runs as the router.
     pub program: Option<PathBuf>,
-    /// The run's conditions.
+    /// Conditions of all points.
     pub conditions: &'a Conditions,
-    /// Failures during each point.
+    /// Faults during each point.
     pub faults: &'a [Fault],
 }
 
-/// Workers, discovery and hollow routers of one point; real routers are told where they are.
-struct Surroundings {
-    stage: Arc<Stage>,
-    work: Arc<Work>,
-    /// Discovery's addresses, one for each real router.
-    doors: Vec<Door>,
-    hollow: Hollow,
-    /// The hollow routers' address of discovery.
-    _common: Door,
-    /// The real routers' configurations.
+/// Workers, discovery and hollow routers of one point, to which the real routers connect.
+struct TestBed {
+    cluster: Arc<Cluster>,
+    worker_counters: Arc<WorkerCounters>,
+    /// Discovery endpoints, one for each real router: each counts the traffic of its router.
+    endpoints: Vec<Endpoint>,
+    hollow: HollowRouters,
+    /// Discovery endpoint of all hollow routers; kept open until the point ends.
+    _hollow_endpoint: Endpoint,
+    /// Folder of the real routers' configuration files.
     folder: TempDir,
 }
 
-/// Real routers and their clients.
-struct Real {
-    routers: Vec<Router>,
+/// The real routers and their clients.
+struct RealRouters {
+    routers: Vec<RouterProcess>,
     clients: Vec<Clients>,
     answers: Arc<Answers>,
 }
 
-/// All that is counted, at one moment.
+/// Values of all counters at one moment.
 struct Counters {
     at: Instant,
     samples: Vec<Sample>,
-    calls: Vec<Counts>,
+    discovery: Vec<TrafficCounts>,
     answers: [u64; 3],
     worker_bytes: u64,
 }
 
-impl Bench<'_> {
-    /// Plays one point.
-    pub async fn play(&self, size: &Size) -> Result<Measured, PointError> {
-        let around = self.surround(size).await?;
-        let measured = self.measure(size, &around).await;
-        around.hollow.stop();
-        measured
+impl PointRunner<'_> {
+    /// Runs one point.
+    pub async fn run(&self, size: &Size) -> Result<PointResult, PointError> {
+        let bed = self.set_up(size).await?;
+        let result = self.measure(size, &bed).await;
+        bed.hollow.stop();
+        result
     }
 
-    async fn surround(&self, size: &Size) -> Result<Surroundings, PointError> {
+    async fn set_up(&self, size: &Size) -> Result<TestBed, PointError> {
         let io = |what| move |error| PointError::Io { what, error };
-        let folder = tempfile::tempdir().map_err(io("a folder for configurations"))?;
-        let (board, work) = (Arc::<Board>::default(), Arc::<Work>::default());
-        let stage = Arc::new(self.stage(size, &work, &board).await.map_err(io("a port for a worker"))?);
-        let port = io("a port for discovery");
-        let common = stage.discovery.open().await.map_err(port)?;
-        let mut doors = Vec::new();
+        let folder = tempfile::tempdir().map_err(io("cannot create a configuration folder"))?;
+        let (tracker, worker_counters) = (Arc::<ChangeTracker>::default(), Arc::<WorkerCounters>::default());
+        let cluster = Arc::new(
+            self.start_cluster(size, &worker_counters, &tracker)
+                .await
+                .map_err(io("cannot start a worker"))?,
+        );
+        let endpoint_error = io("cannot start discovery");
+        let hollow_endpoint = cluster.discovery.listen().await.map_err(endpoint_error)?;
+        let mut endpoints = Vec::new();
         for _ in 0..size.real {
-            doors.push(stage.discovery.open().await.map_err(port)?);
+            endpoints.push(cluster.discovery.listen().await.map_err(endpoint_error)?);
         }
-        let hollow = Hollow::start(size, self.conditions, common.address, board, HOLLOW_THREADS)?;
-        Ok(Surroundings { stage, work, doors, hollow, _common: common, folder })
+        let hollow =
+            HollowRouters::start(size, self.conditions, hollow_endpoint.address, tracker, HOLLOW_THREADS)?;
+        Ok(TestBed { cluster, worker_counters, endpoints, hollow, _hollow_endpoint: hollow_endpoint, folder })
     }
 
-    async fn measure(&self, size: &Size, around: &Surroundings) -> Result<Measured, PointError> {
-        let real = self.start_real(size, around)?;
+    async fn measure(&self, size: &Size, bed: &TestBed) -> Result<PointResult, PointError> {
+        let real = self.start_real_routers(size, bed)?;
         tokio::time::sleep(Duration::from_secs_f64(self.conditions.warmup_s)).await;
-        let before = real.count(around).await?;
-        let fail = |fault: &Fault| tokio::spawn(faults::play(around.stage.clone(), fault.clone()));
-        let failing: Vec<_> = self.faults.iter().map(fail).collect();
+        let before = real.read_counters(bed).await?;
+        let start_fault = |fault: &Fault| tokio::spawn(faults::run(bed.cluster.clone(), fault.clone()));
+        let running_faults: Vec<_> = self.faults.iter().map(start_fault).collect();
         let until = before.at + Duration::from_secs_f64(self.conditions.seconds);
-        self.change(size, &around.stage, until).await;
-        let after = real.count(around).await?;
+        self.drain_workers(size, &bed.cluster, until).await;
+        let after = real.read_counters(bed).await?;
         drop(real.clients);
-        for fault in failing {
+        for fault in running_faults {
             let _ = fault.await;
         }
-        tokio::time::sleep(LAST_CHANGES).await;
-        Ok(measured(size, around, &before, &after))
+        tokio::time::sleep(LAST_CHANGES_WAIT).await;
+        Ok(point_result(size, bed, &before, &after))
     }
 
-    fn start_real(&self, size: &Size, around: &Surroundings) -> Result<Real, PointError> {
-        let start = |(number, door): (usize, &Door)| {
-            let told = configuration(size, self.conditions, number, door.address);
-            let board = around.stage.board.clone();
-            Router::start(self.program.as_deref(), around.folder.path(), &told, board)
+    fn start_real_routers(&self, size: &Size, bed: &TestBed) -> Result<RealRouters, PointError> {
+        let start = |(number, endpoint): (usize, &Endpoint)| {
+            let config = router_config(size, self.conditions, number, endpoint.address);
+            let tracker = bed.cluster.tracker.clone();
+            RouterProcess::start(self.program.as_deref(), bed.folder.path(), &config, tracker)
         };
-        // Starting one waits for it; the workers and discovery that it needs run meanwhile.
+        // Starting a router blocks until it is active; the workers and discovery that it needs keep running.
         let routers = tokio::task::block_in_place(|| {
-            around.doors.iter().enumerate().map(start).collect::<Result<Vec<_>, _>>()
+            bed.endpoints.iter().enumerate().map(start).collect::<Result<Vec<_>, _>>()
         })?;
         let answers = Arc::<Answers>::default();
-        let ask = |(number, router): (usize, &Router)| {
-            Clients::start(router.listens.clients, number, size, self.conditions.seed, answers.clone())
+        let start_clients = |(number, router): (usize, &RouterProcess)| {
+            Clients::start(router.addresses.clients, number, size, self.conditions.seed, answers.clone())
         };
-        let clients = routers.iter().enumerate().map(ask).collect();
-        Ok(Real { routers, clients, answers })
+        let clients = routers.iter().enumerate().map(start_clients).collect();
+        Ok(RealRouters { routers, clients, answers })
     }
 
-    async fn stage(&self, size: &Size, work: &Arc<Work>, board: &Arc<Board>) -> std::io::Result<Stage> {
-        let places = places(size, self.conditions);
+    async fn start_cluster(
+        &self,
+        size: &Size,
+        worker_counters: &Arc<WorkerCounters>,
+        tracker: &Arc<ChangeTracker>,
+    ) -> std::io::Result<Cluster> {
+        let placements = placements(size, self.conditions);
         let (mut workers, mut members) = (Vec::new(), Vec::new());
-        for place in &places {
-            let worker = Worker::start(place.reads, Pace::new(self.conditions), work.clone()).await?;
-            members.push(member(place, &worker));
+        for placement in &placements {
+            let worker =
+                Worker::start(placement.is_reader, Timing::new(self.conditions), worker_counters.clone())
+                    .await?;
+            members.push(member(placement, &worker));
             workers.push(worker);
         }
         let discovery = Discovery::new(members.clone());
-        Ok(Stage { places, workers, members, discovery, board: board.clone() })
+        Ok(Cluster { placements, workers, members, discovery, tracker: tracker.clone() })
     }
 
-    /// Drains workers, one a change, and takes each back a while later, until the time is over.
-    async fn change(&self, size: &Size, stage: &Arc<Stage>, until: Instant) {
+    /// Drains one worker after another until the given time, and makes each active again after [`DRAIN_TIME`].
+    async fn drain_workers(&self, size: &Size, cluster: &Arc<Cluster>, until: Instant) {
         let mut random = Pcg64::seed_from_u64(self.conditions.seed);
-        // What a failure takes down is not drained beside it.
-        let down = |place: &Place| self.faults.iter().any(|fault| place.fails_with(fault.kind));
-        // Nor the last one, which tells when a silence is over.
-        let ordinary = 0..stage.places.len().saturating_sub(1);
-        let free: Vec<usize> = ordinary.filter(|at| !down(&stage.places[*at])).collect();
-        let gap = Duration::from_secs_f64(60.0 / size.changes_per_min.max(0.01));
-        let mut next = random.random_range(0..free.len().max(1));
+        // A worker that a fault takes down is not drained as well.
+        let faulty = |placement: &Placement| self.faults.iter().any(|fault| placement.hit_by(fault.kind));
+        // Nor is the last worker: its drain is the change that marks the end of a discovery outage.
+        let candidates = 0..cluster.placements.len().saturating_sub(1);
+        let drainable: Vec<usize> = candidates.filter(|index| !faulty(&cluster.placements[*index])).collect();
+        let interval = Duration::from_secs_f64(60.0 / size.changes_per_min.max(0.01));
+        let mut next = random.random_range(0..drainable.len().max(1));
         loop {
-            let wake = (Instant::now() + gap).min(until);
+            let wake = (Instant::now() + interval).min(until);
             tokio::time::sleep_until(wake.into()).await;
-            if Instant::now() >= until || free.is_empty() {
+            if Instant::now() >= until || drainable.is_empty() {
                 return;
             }
-            let at = free[next % free.len()];
+            let index = drainable[next % drainable.len()];
             next += 1;
-            let entry = stage.members[at].clone();
-            // What is written in silence is heard with what follows it.
-            if !stage.discovery.is_down() {
-                stage.board.written(&entry.id);
+            let entry = cluster.members[index].clone();
+            // A change made while discovery is silent reaches routers only after the outage: it is not tracked.
+            if !cluster.discovery.is_silent() {
+                cluster.tracker.record_written(&entry.id);
             }
-            stage.discovery.change(&[Member { phase: Phase::Leaving, ..entry.clone() }]);
-            let discovery = stage.discovery.clone();
+            cluster.discovery.change(&[Member { phase: Phase::Leaving, ..entry.clone() }]);
+            let discovery = cluster.discovery.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(DRAINED_FOR).await;
+                tokio::time::sleep(DRAIN_TIME).await;
                 discovery.change(&[entry]);
             });
         }
     }
 }
 
-fn member(place: &Place, worker: &Worker) -> Member {
+fn member(placement: &Placement, worker: &Worker) -> Member {
     Member {
-        id: place.id.clone(),
+        id: placement.id.clone(),
         host_port: worker.address,
-        locality: zone(place.zone),
-        flavor: place.flavor(),
-        cell: place.rack,
+        locality: zone_name(placement.zone),
+        flavor: placement.flavor(),
+        cell: placement.rack,
         phase: Phase::Active,
         size: 1.0,
         up_since_ms: 0,
     }
 }
 
-impl Real {
-    async fn count(&self, around: &Surroundings) -> Result<Counters, MeasureError> {
+impl RealRouters {
+    async fn read_counters(&self, bed: &TestBed) -> Result<Counters, MeasureError> {
         let at = Instant::now();
         let mut samples = Vec::new();
         for router in &self.routers {
-            samples.push(sample(router.id(), router.listens.operators).await?);
+            samples.push(sample(router.pid(), router.addresses.operators).await?);
         }
-        let calls = around.doors.iter().map(Door::counts).collect();
-        let worker_bytes = around.work.traffic.counts().bytes;
-        Ok(Counters { at, samples, calls, answers: self.answers.counts(), worker_bytes })
+        let discovery = bed.endpoints.iter().map(Endpoint::counts).collect();
+        let worker_bytes = bed.worker_counters.traffic.counts().bytes;
+        Ok(Counters { at, samples, discovery, answers: self.answers.counts(), worker_bytes })
     }
 }
 
-fn measured(size: &Size, around: &Surroundings, before: &Counters, after: &Counters) -> Measured {
+fn point_result(size: &Size, bed: &TestBed, before: &Counters, after: &Counters) -> PointResult {
     let seconds = (after.at - before.at).as_secs_f64();
-    let (ends, work) = (&around.hollow.ends, &around.work);
-    Measured {
+    let (hollow, workers) = (&bed.hollow.answers, &bed.worker_counters);
+    PointResult {
         size: size.clone(),
         seconds,
         figures: figures(before, after, seconds),
-        spread: around.stage.board.spread(before.at, size.routers),
-        answers: [0, 1, 2].map(|at| after.answers[at] - before.answers[at]),
-        hollow_answers: [&ends.served, &ends.others].map(|count| count.load(Ordering::Relaxed)),
-        worker_connections: work.connections.load(Ordering::Relaxed),
-        releases: work.releases.load(Ordering::Relaxed),
+        spread: bed.cluster.tracker.spread(before.at, size.routers),
+        answers: [0, 1, 2].map(|index| after.answers[index] - before.answers[index]),
+        hollow_answers: [&hollow.served, &hollow.not_served].map(|count| count.load(Ordering::Relaxed)),
+        worker_connections: workers.connections.load(Ordering::Relaxed),
+        releases: workers.releases.load(Ordering::Relaxed),
         worker_bytes_per_s: (after.worker_bytes - before.worker_bytes) as f64 / seconds,
     }
 }
 
-/// Means over the real routers, but the most for memory and descriptors.
+/// Means over the real routers; maxima for memory and descriptors.
 fn figures(before: &Counters, after: &Counters, seconds: f64) -> Figures {
     let count = before.samples.len().max(1) as f64;
-    let grown = |of: fn(&Sample) -> f64| {
+    let mean_growth = |of: fn(&Sample) -> f64| {
         let sum = |counters: &Counters| counters.samples.iter().map(of).sum::<f64>();
         (sum(after) - sum(before)) / count
     };
-    let most = |of: fn(&Sample) -> f64| after.samples.iter().map(of).fold(0.0, f64::max);
-    let called = |of: fn(&Counts) -> u64| {
-        let sum = |counters: &Counters| counters.calls.iter().map(of).sum::<u64>();
+    let maximum = |of: fn(&Sample) -> f64| after.samples.iter().map(of).fold(0.0, f64::max);
+    let discovery_rate = |of: fn(&TrafficCounts) -> u64| {
+        let sum = |counters: &Counters| counters.discovery.iter().map(of).sum::<u64>();
         (sum(after) - sum(before)) as f64 / count / seconds
     };
-    let (decided, decisions) = (grown(|sample| sample.decisions.0), grown(|sample| sample.decisions.1));
+    let (decision_s, decisions) =
+        (mean_growth(|sample| sample.decisions.0), mean_growth(|sample| sample.decisions.1));
     Figures {
-        cpu_percent: 100.0 * grown(|sample| sample.cpu_s) / seconds,
-        decision_cpu_percent: 100.0 * decided / seconds,
-        decision_us: 1e6 * decided / decisions.max(1.0),
+        cpu_percent: 100.0 * mean_growth(|sample| sample.cpu_s) / seconds,
+        decision_cpu_percent: 100.0 * decision_s / seconds,
+        decision_us: 1e6 * decision_s / decisions.max(1.0),
         decisions_per_s: decisions / seconds,
-        attempts_per_s: grown(|sample| sample.attempts) / seconds,
-        peak_memory_mb: most(|sample| sample.peak_mb),
-        descriptors: most(|sample| sample.descriptors as f64),
-        discovery_bytes_per_s: called(|counts| counts.bytes),
-        discovery_messages_per_s: called(|counts| counts.messages),
+        attempts_per_s: mean_growth(|sample| sample.attempts) / seconds,
+        peak_memory_mb: maximum(|sample| sample.peak_mb),
+        descriptors: maximum(|sample| sample.descriptors as f64),
+        discovery_bytes_per_s: discovery_rate(|counts| counts.bytes),
+        discovery_messages_per_s: discovery_rate(|counts| counts.messages),
     }
 }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,12 +1,12 @@
-//! Results as JSON, as CSV, and as rows for a page.
+//! Fits lines to the results and writes them as JSON, CSV and Markdown.
 
-use crate::fit::{Line, line};
+use crate::fit::{Line, fit_line};
 use crate::plan::{Plan, Quantity};
-use crate::point::Measured;
+use crate::point::PointResult;
 use serde::Serialize;
 use std::path::Path;
 
-/// Why results cannot be written.
+/// A file of results cannot be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {error}")]
 pub struct ReportError {
@@ -14,51 +14,51 @@
     error: std::io::Error,
 }
 
-/// One point, and what varied there.
+/// One point and the quantity that varied.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// What varied; none for a run without sweeps.
+    /// The varied quantity; none for a run without sweeps.
     pub vary: Option<Quantity>,
     /// What was measured.
-    pub result: Measured,
+    pub result: PointResult,
 }
 
 /// How one figure grows with one quantity.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What varied.
+    /// The varied quantity.
     pub vary: Quantity,
-    /// The figure.
+    /// Name of the figure.
     pub figure: &'static str,
-    /// The sizes at which it was measured, and its values there.
+    /// Measured points: value of the quantity, value of the figure.
     pub points: Vec<(f64, f64)>,
-    /// The line through them.
+    /// Line fitted to the points.
     pub line: Line,
-    /// The line's value where the quantity has the target's size and all others the base's.
+    /// Value of the line at the target's value of the quantity; all other quantities have their base values.
     pub at_target: f64,
 }
 
-/// All that a run found.
+/// All results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was run.
+    /// The plan.
     pub plan: Plan,
-    /// Its points.
+    /// The measured points.
     pub points: Vec<Point>,
-    /// The lines through them.
+    /// A fitted line for each figure and varied quantity.
     pub slopes: Vec<Slope>,
 }
 
 impl Report {
-    /// Fits what was measured.
+    /// Fits lines to the points.
     pub fn new(plan: Plan, points: Vec<Point>) -> Self {
-        let of = |vary: Quantity| slopes(&plan, &points, vary);
-        let slopes = plan.sweep.iter().flat_map(|sweep| of(sweep.vary)).collect();
+        let fit = |vary: Quantity| slopes(&plan, &points, vary);
+        let slopes = plan.sweep.iter().flat_map(|sweep| fit(sweep.vary)).collect();
         Report { plan, points, slopes }
     }
 
-    /// The rows for a page, in Markdown.
-    pub fn rows(&self) -> String {
+    /// The results as Markdown tables.
+    pub fn to_markdown(&self) -> String {
         let mut text = String::from(
             "| point | CPU % | decisions CPU % | us a decision | attempts/s | MB | descriptors | list B/s | list msg/s | \
              last router ms (50%, 99%, most) | changes, complete | served, refused, failed |\n\
@@ -78,20 +78,20 @@
         text
     }
 
-    /// Writes the whole report.
+    /// Writes the whole report as JSON.
     pub fn write_json(&self, path: &Path) -> Result<(), ReportError> {
         let text = serde_json::to_vec_pretty(self).map_err(std::io::Error::other);
-        text.and_then(|text| std::fs::write(path, text)).map_err(|error| failed(path, error))
+        text.and_then(|text| std::fs::write(path, text)).map_err(|error| write_error(path, error))
     }
 
-    /// Writes a line for each figure of each point.
+    /// Writes a CSV row for each figure of each point.
     pub fn write_csv(&self, path: &Path) -> Result<(), ReportError> {
-        let all = || -> std::io::Result<()> {
+        let write = || -> std::io::Result<()> {
             let mut writer = csv::Writer::from_path(path)?;
             writer.write_record(["vary", "value", "servers", "routers", "figure", "measured"])?;
             for Point { vary, result } in &self.points {
                 let name = vary.map_or("-", Quantity::name);
-                let value = vary.map_or(0.0, |vary| vary.of(&result.size)).to_string();
+                let value = vary.map_or(0.0, |vary| vary.value_in(&result.size)).to_string();
                 let (servers, routers) = (result.size.servers.to_string(), result.size.routers.to_string());
                 for (figure, measured) in result.figures.named() {
                     let measured = measured.to_string();
@@ -100,24 +100,26 @@
             }
             writer.flush()
         };
-        all().map_err(|error| failed(path, error))
+        write().map_err(|error| write_error(path, error))
     }
 }
 
-fn failed(path: &Path, error: std::io::Error) -> ReportError {
+fn write_error(path: &Path, error: std::io::Error) -> ReportError {
     ReportError { path: path.display().to_string(), error }
 }
 
 fn slopes(plan: &Plan, points: &[Point], vary: Quantity) -> Vec<Slope> {
-    let of: Vec<&Measured> =
+    let results: Vec<&PointResult> =
         points.iter().filter(|point| point.vary == Some(vary)).map(|point| &point.result).collect();
-    let Some(first) = of.first() else { return Vec::new() };
+    let Some(first) = results.first() else { return Vec::new() };
     let figures = first.figures.named().into_iter().enumerate();
-    let slope = |(place, (figure, _)): (usize, (&'static str, f64))| {
-        let points: Vec<(f64, f64)> =
-            of.iter().map(|result| (vary.of(&result.size), result.figures.named()[place].1)).collect();
-        let line = line(&points)?;
-        Some(Slope { vary, figure, points, line, at_target: line.at(vary.of(&plan.target)) })
+    let slope = |(index, (figure, _)): (usize, (&'static str, f64))| {
+        let points: Vec<(f64, f64)> = results
+            .iter()
+            .map(|result| (vary.value_in(&result.size), result.figures.named()[index].1))
+            .collect();
+        let line = fit_line(&points)?;
+        Some(Slope { vary, figure, points, line, at_target: line.at(vary.value_in(&plan.target)) })
     };
     figures.filter_map(slope).collect()
 }
@@ -125,14 +127,14 @@
 fn point_row(point: &Point) -> String {
     let Point { vary, result } = point;
     let name = match vary {
-        Some(vary) => format!("{} {}", vary.name(), vary.of(&result.size)),
+        Some(vary) => format!("{} {}", vary.name(), vary.value_in(&result.size)),
         None => format!("{} servers, {} routers", result.size.servers, result.size.routers),
     };
     let figures = &result.figures;
-    let [median, late, most] = result.spread.last_router_ms;
+    let [median, p99, max] = result.spread.last_router_ms;
     let [served, refused, failed] = result.answers;
     format!(
-        "| {name} | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} | {:.0} | {:.0} | {:.2} | {median:.1}, {late:.1}, {most:.1} | \
+        "| {name} | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} | {:.0} | {:.0} | {:.2} | {median:.1}, {p99:.1}, {max:.1} | \
          {}, {} | {served}, {refused}, {failed} |\n",
         figures.cpu_percent,
         figures.decision_cpu_percent,
--- a/scale/src/counted.rs
+++ b/scale/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes that pass over connections.
+//! Counts bytes and messages on connections.
 
 use std::io;
 use std::pin::Pin;
@@ -8,14 +8,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What passed over all connections of one listener.
+/// Traffic counters of all connections of one listener.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Bytes from the routers.
     pub received: AtomicU64,
     /// Bytes to the routers.
     pub sent: AtomicU64,
-    /// Messages to and from the routers: a call, or a piece of an answer.
+    /// Messages to and from the routers: requests and pieces of answers.
     pub messages: AtomicU64,
     /// Connections accepted.
     pub accepted: AtomicU64,
@@ -23,7 +23,7 @@
 
 /// [`Traffic`] at one moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct TrafficCounts {
     /// Bytes both ways.
     pub bytes: u64,
     /// Messages both ways.
@@ -31,33 +31,33 @@
 }
 
 impl Traffic {
-    /// One message more.
-    pub fn message(&self) {
+    /// Counts one message.
+    pub fn count_message(&self) {
         self.messages.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// What has passed so far.
-    pub fn counts(&self) -> Counts {
+    /// Traffic so far.
+    pub fn counts(&self) -> TrafficCounts {
         let bytes = self.received.load(Ordering::Relaxed) + self.sent.load(Ordering::Relaxed);
-        Counts { bytes, messages: self.messages.load(Ordering::Relaxed) }
+        TrafficCounts { bytes, messages: self.messages.load(Ordering::Relaxed) }
     }
 }
 
 /// A connection whose bytes are counted.
-pub struct Counted {
+pub struct CountedStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
-impl Counted {
-    /// Counts what passes from now on.
+impl CountedStream {
+    /// Counts the connection as accepted, and its bytes from now on.
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Self {
         traffic.accepted.fetch_add(1, Ordering::Relaxed);
-        Counted { stream, traffic }
+        CountedStream { stream, traffic }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let before = buf.filled().len();
@@ -67,7 +67,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let size = ready!(Pin::new(&mut this.stream).poll_write(cx, buf))?;
--- a/scale/src/worker.rs
+++ b/scale/src/worker.rs
@@ -1,7 +1,7 @@
-//! A hollow worker: answers reads, streams and releases as the protocol page says, and computes nothing.
+//! Hollow workers: they answer prompts and releases as the protocol page says, and compute nothing.
 
-use crate::counted::{Counted, Traffic};
 use crate::plan::Conditions;
+use crate::traffic::{CountedStream, Traffic};
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Either, Full, channel::Channel};
 use hyper::body::Incoming;
@@ -17,92 +17,102 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::watch;
 
-/// What every answer says of the worker's load.
-pub const REPORT: &str = "{\"inflight\":3,\"queue\":0,\"x0\":0.30,\"x1\":2}";
-const REPORT_FIELD: &str = "X-Load-Report";
+/// Load report in every answer of a worker.
+pub const LOAD_REPORT: &str = "{\"inflight\":3,\"queue\":0,\"x0\":0.30,\"x1\":2}";
+const LOAD_REPORT_HEADER: &str = "X-Load-Report";
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
-/// Events that may wait for a slow router.
-const EVENTS_AHEAD: usize = 4;
+const LISTEN_BACKLOG: u32 = 1_024;
+/// Events buffered for a router that reads its stream slowly.
+const STREAM_BUFFER_EVENTS: usize = 4;
 
 type Body = Either<Full<Bytes>, Channel<Bytes>>;
 
-/// What all workers of a point have counted.
+/// Counters shared by all workers of a point.
 #[derive(Debug, Default)]
-pub struct Work {
-    /// Prompts read.
+pub struct WorkerCounters {
+    /// Prompts read by readers.
     pub reads: AtomicU64,
-    /// Answers begun.
+    /// Streams begun by writers.
     pub streams: AtomicU64,
     /// Releases answered.
     pub releases: AtomicU64,
-    /// Connections open now.
+    /// Connections that are open now.
     pub connections: AtomicU64,
-    /// What passed over the connections.
+    /// Bytes over all connections.
     pub traffic: Arc<Traffic>,
 }
 
-/// How workers take their time.
+/// How long workers take to answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    read: Duration,
+pub struct Timing {
+    answer_delay: Duration,
     events: usize,
-    event: Duration,
+    event_interval: Duration,
 }
 
-impl Pace {
-    /// The pace that a plan tells.
+impl Timing {
+    /// The times of a plan.
     pub fn new(conditions: &Conditions) -> Self {
-        Pace {
-            read: Duration::from_millis(conditions.read_ms),
+        Timing {
+            answer_delay: Duration::from_millis(conditions.read_ms),
             events: conditions.events,
-            event: Duration::from_millis(conditions.event_ms),
+            event_interval: Duration::from_millis(conditions.event_ms),
         }
     }
 }
 
-/// A worker that can be taken down and brought back at its address.
+/// A worker that can be stopped and started again at the same address.
 #[derive(Clone)]
 pub struct Worker {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     up: watch::Sender<bool>,
 }
 
 impl Worker {
-    /// Starts a worker on a free port of the loopback.
-    pub async fn start(reads: bool, pace: Pace, work: Arc<Work>) -> std::io::Result<Self> {
+    /// Starts a worker on a free loopback port.
+    pub async fn start(
+        is_reader: bool,
+        timing: Timing,
+        counters: Arc<WorkerCounters>,
+    ) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let up = watch::Sender::new(true);
-        tokio::spawn(live(listener, up.subscribe(), reads, pace, work));
+        tokio::spawn(run(listener, up.subscribe(), is_reader, timing, counters));
         Ok(Worker { address, up })
     }
 
-    /// Takes it down, with all its connections, or brings it back.
+    /// Stops the worker and breaks all its connections, or starts it again.
     pub fn set_up(&self, up: bool) {
         self.up.send_replace(up);
     }
 }
 
-async fn live(first: TcpListener, mut up: watch::Receiver<bool>, reads: bool, pace: Pace, work: Arc<Work>) {
+async fn run(
+    first: TcpListener,
+    mut up: watch::Receiver<bool>,
+    is_reader: bool,
+    timing: Timing,
+    counters: Arc<WorkerCounters>,
+) {
     let Ok(address) = first.local_addr() else { return };
     let mut listener = Some(first);
     loop {
-        let accepting = match listener.take() {
+        let current = match listener.take() {
             Some(listener) => listener,
             None => match listen(address) {
                 Ok(listener) => listener,
-                // The port is not free yet: connections of before are still closing.
+                // The port is not free yet: earlier connections are still closing.
                 Err(_) => {
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 }
             },
         };
-        accept(&accepting, &mut up, reads, pace, &work).await;
-        drop(accepting);
-        // Nobody can take it down or bring it back any more: its point is over.
+        accept(&current, &mut up, is_reader, timing, &counters).await;
+        drop(current);
+        // An error means that the `Worker` has been dropped, because its point is over.
         if up.has_changed().is_err() || up.wait_for(|up| *up).await.is_err() {
             return;
         }
@@ -113,75 +123,78 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Accepts connections until the worker is taken down.
+/// Accepts connections until the worker is stopped.
 async fn accept(
     listener: &TcpListener,
     up: &mut watch::Receiver<bool>,
-    reads: bool,
-    pace: Pace,
-    work: &Arc<Work>,
+    is_reader: bool,
+    timing: Timing,
+    counters: &Arc<WorkerCounters>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = taken_down(up) => return,
+            () = wait_for_stop(up) => return,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let (mut down, work) = (up.clone(), work.clone());
+        let (mut connection_up, counters) = (up.clone(), counters.clone());
         tokio::spawn(async move {
-            work.connections.fetch_add(1, Ordering::Relaxed);
-            let wire = TokioIo::new(Counted::new(stream, work.traffic.clone()));
-            let of = work.clone();
-            let answer = service_fn(move |request| answer(request, reads, pace, of.clone()));
+            counters.connections.fetch_add(1, Ordering::Relaxed);
+            let io = TokioIo::new(CountedStream::new(stream, counters.traffic.clone()));
+            let request_counters = counters.clone();
+            let service = service_fn(move |request| {
+                handle_request(request, is_reader, timing, request_counters.clone())
+            });
             tokio::select! {
-                _ = hyper::server::conn::http1::Builder::new().serve_connection(wire, answer) => {}
-                () = taken_down(&mut down) => {}
+                _ = hyper::server::conn::http1::Builder::new().serve_connection(io, service) => {}
+                () = wait_for_stop(&mut connection_up) => {}
             }
-            work.connections.fetch_sub(1, Ordering::Relaxed);
+            counters.connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn taken_down(up: &mut watch::Receiver<bool>) {
-    // An error says that the worker itself has gone.
+async fn wait_for_stop(up: &mut watch::Receiver<bool>) {
+    // An error means that the `Worker` has been dropped, which stops it as well.
     let _ = up.wait_for(|up| !*up).await;
 }
 
-async fn answer(
+async fn handle_request(
     request: Request<Incoming>,
-    reads: bool,
-    pace: Pace,
-    work: Arc<Work>,
+    is_reader: bool,
+    timing: Timing,
+    counters: Arc<WorkerCounters>,
 ) -> Result<Response<Body>, Infallible> {
     let release = request.method() == Method::DELETE;
     if request.into_body().collect().await.is_err() {
-        return Ok(whole(StatusCode::BAD_REQUEST, ""));
+        return Ok(full_response(StatusCode::BAD_REQUEST, ""));
     }
     if release {
-        work.releases.fetch_add(1, Ordering::Relaxed);
-        return Ok(whole(StatusCode::NO_CONTENT, ""));
+        counters.releases.fetch_add(1, Ordering::Relaxed);
+        return Ok(full_response(StatusCode::NO_CONTENT, ""));
     }
-    tokio::time::sleep(pace.read).await;
-    if reads {
-        work.reads.fetch_add(1, Ordering::Relaxed);
-        return Ok(whole(StatusCode::ACCEPTED, "{\"cached_tokens\":400}"));
+    tokio::time::sleep(timing.answer_delay).await;
+    if is_reader {
+        counters.reads.fetch_add(1, Ordering::Relaxed);
+        return Ok(full_response(StatusCode::ACCEPTED, "{\"cached_tokens\":400}"));
     }
-    work.streams.fetch_add(1, Ordering::Relaxed);
-    let (mut sender, body) = Channel::<Bytes>::new(EVENTS_AHEAD);
+    counters.streams.fetch_add(1, Ordering::Relaxed);
+    let (mut sender, body) = Channel::<Bytes>::new(STREAM_BUFFER_EVENTS);
     tokio::spawn(async move {
-        for number in 0..=pace.events {
-            let event = if number < pace.events { token(number) } else { last(pace.events) };
+        for number in 0..=timing.events {
+            let event =
+                if number < timing.events { token_event(number) } else { final_events(timing.events) };
             if sender.send_data(event).await.is_err() {
                 return;
             }
-            tokio::time::sleep(pace.event).await;
+            tokio::time::sleep(timing.event_interval).await;
         }
     });
     let mut response = Response::new(Either::Right(body));
@@ -189,25 +202,25 @@
     Ok(response)
 }
 
-fn whole(status: StatusCode, text: &'static str) -> Response<Body> {
+fn full_response(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(Either::Left(Full::from(text)));
     *response.status_mut() = status;
-    response.headers_mut().insert(REPORT_FIELD, HeaderValue::from_static(REPORT));
+    response.headers_mut().insert(LOAD_REPORT_HEADER, HeaderValue::from_static(LOAD_REPORT));
     response
 }
 
-fn token(number: usize) -> Bytes {
+fn token_event(number: usize) -> Bytes {
     let event = format!(
         "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"t{number:03}\"}},\"finish_reason\":null}}]}}\n\n"
     );
     Bytes::from(event)
 }
 
-fn last(tokens: usize) -> Bytes {
-    let event = format!(
+fn final_events(tokens: usize) -> Bytes {
+    let events = format!(
         "data: {{\"choices\":[{{\"index\":0,\"delta\":{{}},\"finish_reason\":\"stop\"}}]}}\n\ndata: {{\"choices\":[],\
          \"usage\":{{\"prompt_tokens\":800,\"completion_tokens\":{tokens},\"prompt_tokens_details\":\
-         {{\"cached_tokens\":400}}}}}}\n\ndata: [DONE]\n\n: {REPORT_FIELD}: {REPORT}\n\n"
+         {{\"cached_tokens\":400}}}}}}\n\ndata: [DONE]\n\n: {LOAD_REPORT_HEADER}: {LOAD_REPORT}\n\n"
     );
-    Bytes::from(event)
+    Bytes::from(events)
 }
