--- a/leases/benches/leases.rs
+++ b/leases/benches/leases.rs
@@ -1,24 +1,24 @@
 //! What an event costs at size: `cargo bench -p fawnstream-leases`. 1,000 servers in three zones, 10,000 requests held.
 
 use fawnstream_fleet::reach::Reach;
-use fawnstream_leases::{Action, AttemptEnd, Leases, ReleaseOutcome, Terms};
+use fawnstream_leases::{Action, AttemptEnd, LeaseConfig, Leases, ReleaseOutcome};
 use std::time::Duration;
 
 fn main() {
     divan::main();
 }
 
-const TERMS: Terms = Terms {
-    within: Duration::from_millis(500),
+const CONFIG: LeaseConfig = LeaseConfig {
+    release_within: Duration::from_millis(500),
     grace: Duration::from_millis(300),
     close_arrives_within: Duration::from_millis(60),
-    at_once: 27,
+    max_concurrent_releases: 27,
     seed: 1,
 };
 
 /// Each request's state is held, so late that none falls due.
 fn full(servers: u64, held: u64) -> (Leases<u64>, Reach) {
-    let (mut leases, mut reach) = (Leases::new(TERMS), Reach::default());
+    let (mut leases, mut reach) = (Leases::new(CONFIG), Reach::default());
     (0..servers).for_each(|server| reach.join(server, server as usize % 3));
     (0..held).for_each(|request| {
         leases.read_ended(request, &request, request % servers, Duration::from_secs(3_600))
--- a/leases/src/action.rs
+++ b/leases/src/action.rs
@@ -84,7 +84,7 @@
         write_by: Option<Duration>,
     },
     /// Something was held past the limit.
-    Late {
+    ReleaseLate {
         /// The request's name.
         label: L,
         /// Where it is held.
@@ -95,7 +95,7 @@
         reason: LateReason,
     },
     /// No server released it; none is asked any more.
-    Abandoned {
+    LeaseAbandoned {
         /// The request's name.
         label: L,
         /// Where it is held.
--- a/leases/src/lease.rs
+++ b/leases/src/lease.rs
@@ -1,7 +1,7 @@
 //! The lease of one request: its phase, who may wait for its state, and what a release proves.
 
 use crate::action::{AttemptEnd, LateReason, ReleaseKind, ReleaseProof};
-use crate::terms::Terms;
+use crate::config::LeaseConfig;
 use fawnstream_fleet::reach::Reach;
 use std::time::Duration;
 
@@ -81,13 +81,13 @@
         self.noticed_by = self.noticed_by.max(now);
     }
 
-    fn note_unnoticed(&mut self, server: u64, reads: bool, now: Duration, terms: &Terms) {
-        self.release_from = now + terms.close_arrives_within;
-        self.noticed_by = self.noticed_by.max(now + terms.end_noticed_within());
+    fn note_unnoticed(&mut self, server: u64, reads: bool, now: Duration, config: &LeaseConfig) {
+        self.release_from = now + config.close_arrives_within;
+        self.noticed_by = self.noticed_by.max(now + config.end_noticed_within());
         // A server that does both may still read for an earlier attempt.
         let reads = reads || self.unnoticed.iter().any(|known| known.server == server && known.reads);
         self.unnoticed.retain(|known| known.server != server);
-        let notices_within = terms.end_noticed_within();
+        let notices_within = config.end_noticed_within();
         self.unnoticed.push(Unnoticed { server, ended_at: now, reads, ran_at: None, notices_within });
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Its attempt ended.
-    pub(crate) fn end_attempt(&mut self, server: u64, end: AttemptEnd, now: Duration, terms: &Terms) {
+    pub(crate) fn end_attempt(&mut self, server: u64, end: AttemptEnd, now: Duration, config: &LeaseConfig) {
         self.attempt = Attempt::None;
         self.released_under_attempt = false;
         if end == AttemptEnd::NotSent {
@@ -206,19 +206,19 @@
             }
             // It may never have arrived: then the clock has been running all the time.
             AttemptEnd::Closed => self.ends.note_noticed(now),
-            AttemptEnd::Unanswered => self.ends.note_unnoticed(server, false, now, terms),
+            AttemptEnd::Unanswered => self.ends.note_unnoticed(server, false, now, config),
         }
     }
 
     /// A read ended in a way that may have left a state at this reader, or may leave one yet.
-    pub(crate) fn lose_read(&mut self, reader: u64, end: AttemptEnd, now: Duration, terms: &Terms) {
+    pub(crate) fn lose_read(&mut self, reader: u64, end: AttemptEnd, now: Duration, config: &LeaseConfig) {
         // A reader that has closed the connection may read on.
         let end = if end == AttemptEnd::Closed { AttemptEnd::Unanswered } else { end };
         self.hold(reader, now);
-        self.end_attempt(reader, end, now, terms);
+        self.end_attempt(reader, end, now, config);
         self.phase = Phase::ReleaseDue;
         if end == AttemptEnd::Unanswered {
-            self.ends.note_unnoticed(reader, true, now, terms);
+            self.ends.note_unnoticed(reader, true, now, config);
         }
     }
 
@@ -279,8 +279,8 @@
     }
 
     /// When a release that was answered is to be repeated, with no attempt out.
-    pub(crate) fn repeated_at(&self, terms: &Terms) -> Duration {
-        let usual = self.unattended_since + terms.repeated_after();
+    pub(crate) fn repeated_at(&self, config: &LeaseConfig) -> Duration {
+        let usual = self.unattended_since + config.repeat_delay();
         self.ends.all_noticed_by().map_or(usual, |noticed_by| noticed_by.max(usual))
     }
 
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -21,7 +21,7 @@
 //! | any but none | [read ended](Leases::read_ended) | held | a new state stands beside what is left |
 //! | any | [answer began](Leases::answer_began), no read lost a short time ago | none | "with FIRST all else that is held goes by itself" |
 //! | any | answer began, a read lost a short time ago | unconfirmed | "a read may have ended well at the very moment its connection was closed" |
-//! | releasing | ten times the limit without an answer, no attempt out | none, [abandoned](Action::Abandoned) | "what a stopped instance left is freed some seconds later" |
+//! | releasing | ten times the limit without an answer, no attempt out | none, [abandoned](Action::LeaseAbandoned) | "what a stopped instance left is freed some seconds later" |
 //!
 //! [`AttemptEnd`] says what an attempt's end proves. A 410 is no proof that a state has gone: "the state is gone (its
 //! reader died or **is cut off**, it was released, or there never was one)".
@@ -38,13 +38,13 @@
 #![warn(missing_docs)]
 
 pub mod action;
+mod config;
 mod lease;
 mod release_calls;
-mod terms;
 mod timetable;
 
 pub use action::{Action, AttemptEnd, LateReason, Permission, ReleaseCounts, ReleaseOutcome, ReleaseProof};
-pub use terms::Terms;
+pub use config::LeaseConfig;
 
 use fawnstream_fleet::reach::Reach;
 use lease::{Attempt, Call, Lease, Phase};
@@ -65,7 +65,7 @@
 /// not certain yet. No event costs a walk over them.
 #[derive(Debug)]
 pub struct Leases<L> {
-    terms: Terms,
+    config: LeaseConfig,
     leases: HashMap<u64, Lease<L>>,
     timetable: Timetable,
     calls: ReleaseCalls,
@@ -77,12 +77,12 @@
 
 impl<L: Clone> Leases<L> {
     /// Nothing is held yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(config: LeaseConfig) -> Self {
         Leases {
-            terms,
+            config,
             leases: HashMap::new(),
             timetable: Timetable::default(),
-            calls: ReleaseCalls::new(terms.at_once, terms.seed),
+            calls: ReleaseCalls::new(config.max_concurrent_releases, config.seed),
             actions: Vec::new(),
             late: 0,
             counts: ReleaseCounts::default(),
@@ -100,12 +100,12 @@
     }
 
     /// Requests of which something was held past the limit, ever.
-    pub fn late(&self) -> u64 {
+    pub fn late_count(&self) -> u64 {
         self.late
     }
 
     /// Releases that were answered, by kind.
-    pub fn counts(&self) -> ReleaseCounts {
+    pub fn release_counts(&self) -> ReleaseCounts {
         self.counts
     }
 
@@ -113,7 +113,7 @@
 
     /// An attempt is to start.
     pub fn attempt_starts(&mut self, request: u64, now: Duration) -> Permission {
-        let limit = self.terms.unattended_limit();
+        let limit = self.config.unattended_limit();
         let Some(lease) = self.leases.get_mut(&request) else { return Permission::Now { write_by: None } };
         let write_by = lease.unattended_since + limit;
         if lease.phase == Phase::Unconfirmed && write_by <= now {
@@ -137,27 +137,27 @@
     /// A read ended well: its state waits at `reader`.
     pub fn read_ended(&mut self, request: u64, label: &L, reader: u64, now: Duration) {
         self.end_calls(request);
-        let limit = self.terms.unattended_limit();
+        let limit = self.config.unattended_limit();
         self.lease(request, label, reader, now).hold(reader, now);
         self.schedule(request, Some(now + limit));
     }
 
     /// A read ended in a way that may have left a state at `reader`.
     pub fn read_lost(&mut self, request: u64, label: &L, reader: u64, end: AttemptEnd, now: Duration) {
-        let terms = self.terms;
-        self.lease(request, label, reader, now).lose_read(reader, end, now, &terms);
+        let config = self.config;
+        self.lease(request, label, reader, now).lose_read(reader, end, now, &config);
         self.schedule(request, Some(now));
     }
 
     /// An attempt at `server` ended with no answer begun, and was no read that may have left a state.
     pub fn attempt_ended(&mut self, request: u64, server: u64, end: AttemptEnd, now: Duration) {
         self.dequeue(request);
-        let limit = self.terms.unattended_limit();
+        let limit = self.config.unattended_limit();
         let Some(lease) = self.leases.get_mut(&request) else { return };
         if end == AttemptEnd::Answered && lease.was_released_under_attempt() {
             self.counts.in_vain += 1;
         }
-        lease.end_attempt(server, end, now, &self.terms);
+        lease.end_attempt(server, end, now, &self.config);
         let due = match lease.phase {
             Phase::Held | Phase::Unconfirmed => lease.unattended_since + limit,
             // The next round of a release that is under way stays when it was.
@@ -235,7 +235,7 @@
 
     /// A server said that it released what is held. That ends the lease only if no attempt can have waited for it.
     fn answered(&mut self, request: u64, call: Call, now: Duration, reach: &Reach) -> Option<ReleaseProof> {
-        let limit = self.terms.unattended_limit();
+        let limit = self.config.unattended_limit();
         let lease = self.leases.get_mut(&request)?;
         self.counts.count(lease.release_kind());
         lease.note_released(call, now, reach);
@@ -249,7 +249,7 @@
         lease.phase = Phase::Unconfirmed;
         let limit_reached = lease.unattended_since + limit;
         let again = match lease.attempt {
-            Attempt::None => lease.repeated_at(&self.terms),
+            Attempt::None => lease.repeated_at(&self.config),
             Attempt::AwaitsRelease | Attempt::Out => limit_reached,
         };
         // Nothing is left for an attempt that starts now; how it ends matters to what is read after it.
@@ -304,16 +304,16 @@
 
     /// Tells what is held past the limit. True if no server is asked any more for now.
     fn is_given_up(&mut self, request: u64, now: Duration) -> bool {
-        let Terms { within, grace, .. } = self.terms;
+        let LeaseConfig { release_within, grace, .. } = self.config;
         let Some(lease) = self.leases.get_mut(&request) else { return true };
         let held = now.saturating_sub(lease.unattended_since);
-        if held < within + grace {
+        if held < release_within + grace {
             return false;
         }
         let (label, reader) = (lease.label.clone(), lease.reader);
         if !std::mem::replace(&mut lease.late_reported, true) {
             let reason = lease.late_reason;
-            self.actions.push(Action::Late { label: label.clone(), reader, held, reason });
+            self.actions.push(Action::ReleaseLate { label: label.clone(), reader, held, reason });
             self.late += 1;
         }
         if lease.attempt == Attempt::AwaitsRelease {
@@ -322,9 +322,9 @@
             self.end_releases(request, None);
             return true;
         }
-        let abandoned = lease.attempt == Attempt::None && held >= within * ABANDON_FACTOR;
+        let abandoned = lease.attempt == Attempt::None && held >= release_within * ABANDON_FACTOR;
         if abandoned {
-            self.actions.push(Action::Abandoned { label, reader });
+            self.actions.push(Action::LeaseAbandoned { label, reader });
             self.end_releases(request, None);
             self.remove(request);
         }
@@ -337,7 +337,7 @@
         if lease.phase == Phase::ReleaseDue {
             lease.begin_release();
         }
-        let patience = if lease.late_reported { self.terms.within } else { self.terms.round() };
+        let patience = if lease.late_reported { self.config.release_within } else { self.config.round() };
         for server in self.calls.choose_round(request, lease, now, reach) {
             let label = lease.label.clone();
             self.actions.push(Action::SendRelease { request, label, server });
--- a/leases/src/release_calls.rs
+++ b/leases/src/release_calls.rs
@@ -1,8 +1,8 @@
 //! Releases that are under way: how many at once, and at which servers.
 
 use crate::action::LateReason;
+use crate::config::ROUNDS;
 use crate::lease::{Call, DOUBTED, Lease};
-use crate::terms::ROUNDS;
 use fawnstream_fleet::chance::mix;
 use fawnstream_fleet::reach::Reach;
 use std::collections::HashMap;
--- a/leases/tests/common/mod.rs
+++ b/leases/tests/common/mod.rs
@@ -1,14 +1,14 @@
 //! What the tests of leases share.
 
-use fawnstream_leases::Terms;
+use fawnstream_leases::LeaseConfig;
 use std::time::Duration;
 
 /// The settings of most deployments.
-pub const TERMS: Terms = Terms {
-    within: Duration::from_millis(500),
+pub const CONFIG: LeaseConfig = LeaseConfig {
+    release_within: Duration::from_millis(500),
     grace: Duration::from_millis(300),
     close_arrives_within: Duration::from_millis(60),
-    at_once: 8,
+    max_concurrent_releases: 8,
     seed: 1,
 };
 
--- a/leases/tests/model.rs
+++ b/leases/tests/model.rs
@@ -4,9 +4,9 @@
 
 mod common;
 
-use common::{TERMS, ms};
+use common::{CONFIG, ms};
 use fawnstream_fleet::reach::Reach;
-use fawnstream_leases::{Action, AttemptEnd, Leases, Permission, ReleaseOutcome, Terms};
+use fawnstream_leases::{Action, AttemptEnd, LeaseConfig, Leases, Permission, ReleaseOutcome};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -194,7 +194,7 @@
 }
 
 struct Player {
-    terms: Terms,
+    config: LeaseConfig,
     leases: Leases<u64>,
     reach: Reach,
     ways: Vec<Way>,
@@ -210,12 +210,12 @@
 
 impl Player {
     fn new(world: &World) -> Self {
-        let terms = Terms { within: ms(world.within), ..TERMS };
+        let config = LeaseConfig { release_within: ms(world.within), ..CONFIG };
         let mut reach = Reach::default();
         (0..world.ways.len() as u64).for_each(|server| reach.join(server, server as usize % 2));
         Player {
-            terms,
-            leases: Leases::new(terms),
+            config,
+            leases: Leases::new(config),
             reach,
             ways: world.ways.clone(),
             stops: world.stops.iter().map(|stop| stop.map(stopped)).collect(),
@@ -245,10 +245,12 @@
                     }
                 }
                 Action::ReleasedUnderAttempt { request, held, .. } => {
-                    assert!(held >= self.terms.within / 2, "request {request} after {held:?}");
+                    assert!(held >= self.config.release_within / 2, "request {request} after {held:?}");
                     self.usable.insert(request, false);
                 }
-                Action::Late { .. } | Action::Abandoned { .. } => panic!("late, with a server in reach"),
+                Action::ReleaseLate { .. } | Action::LeaseAbandoned { .. } => {
+                    panic!("late, with a server in reach")
+                }
             }
         }
     }
@@ -265,7 +267,7 @@
         let runs_at = self.runs_at(server, now);
         if runs_at > now {
             // Its machine takes the release, and the process works on it when it goes on.
-            let (effect_at, ends_at) = (Some(runs_at), now + self.terms.patience());
+            let (effect_at, ends_at) = (Some(runs_at), now + self.config.release_timeout());
             self.calls.push(Call { request, server, effect_at, ends_at, outcome: ReleaseOutcome::Failed });
             self.most_calls = self.most_calls.max(self.calls.len());
             return;
@@ -277,8 +279,8 @@
                 (Some(effect), STEP * u32::from(*steps), ReleaseOutcome::Answered)
             }
             Way::Refuses => (None, STEP, ReleaseOutcome::Failed),
-            Way::Silent => (None, self.terms.patience(), ReleaseOutcome::Failed),
-            Way::Mute => (Some(Duration::ZERO), self.terms.patience(), ReleaseOutcome::Failed),
+            Way::Silent => (None, self.config.release_timeout(), ReleaseOutcome::Failed),
+            Way::Mute => (Some(Duration::ZERO), self.config.release_timeout(), ReleaseOutcome::Failed),
             Way::Busy(0) => (Some(STEP), STEP, ReleaseOutcome::Answered),
             Way::Busy(left) => {
                 *left -= 1;
@@ -373,7 +375,7 @@
     }
 
     fn ends(&mut self, id: u64, attempt: &Try, server: u64, reads: bool, now: Duration) {
-        let within = self.terms.within;
+        let within = self.config.release_within;
         // Servers that notice an end later are in doubt, of which nothing is asked here.
         let latest = (within * 2 / 3).min(LONGEST_NOTICED);
         let noticed_at = self.runs_at(server, now) + (STEP * u32::from(attempt.noticed)).min(latest);
@@ -493,7 +495,7 @@
         if player.is_at_rest(now) {
             break;
         }
-        let limit = player.terms.within + player.terms.grace;
+        let limit = player.config.release_within + player.config.grace;
         for (id, truth) in &player.truth {
             let unattended = truth.unattended(now);
             assert!(unattended <= limit, "request {id} at {now:?}: {unattended:?}: {:?}", truth.states);
@@ -512,7 +514,7 @@
         let player = play(&world);
         prop_assert!(player.calls.is_empty());
         prop_assert!(player.leases.is_empty(), "{:?}", player.leases);
-        prop_assert!(player.most_calls <= TERMS.at_once);
+        prop_assert!(player.most_calls <= CONFIG.max_concurrent_releases);
         for (id, truth) in &player.truth {
             prop_assert!(truth.states.is_empty(), "request {id}: {:?}", truth.states);
         }
--- a/leases/tests/transitions.rs
+++ b/leases/tests/transitions.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{TERMS, ms};
+use common::{CONFIG, ms};
 use fawnstream_fleet::reach::{Met, Reach};
-use fawnstream_leases::{Action, AttemptEnd, Leases, Permission, ReleaseOutcome, ReleaseProof, Terms};
+use fawnstream_leases::{Action, AttemptEnd, LeaseConfig, Leases, Permission, ReleaseOutcome, ReleaseProof};
 use std::collections::{HashMap, VecDeque};
 
 fn servers(count: u64) -> Reach {
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_server_that_could_not_be_asked_counts_as_no_try() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(1));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(1));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(asked(leases.poll(ms(0), &reach)), [0]);
     leases.release_ended(1, 0, ReleaseOutcome::Unsent, ms(0), &reach);
@@ -48,7 +48,8 @@
 
 #[test]
 fn the_reader_is_asked_first_unless_it_is_believed_out_of_reach() {
-    let (mut leases, mut reach) = (Leases::new(Terms { at_once: 64, ..TERMS }), servers(100));
+    let (mut leases, mut reach) =
+        (Leases::new(LeaseConfig { max_concurrent_releases: 64, ..CONFIG }), servers(100));
     leases.read_lost(1, &"a", 7, AttemptEnd::Unanswered, ms(0));
     assert_eq!(asked(leases.poll(ms(0), &reach)), [7]);
     reach.failed(7, ms(0));
@@ -64,8 +65,8 @@
 /// together, and go to many servers.
 #[test]
 fn many_that_fall_due_at_once_are_spread_within_bounds() {
-    let terms = Terms { at_once: 64, ..TERMS };
-    let (mut leases, mut reach) = (Leases::new(terms), servers(1_024));
+    let config = LeaseConfig { max_concurrent_releases: 64, ..CONFIG };
+    let (mut leases, mut reach) = (Leases::new(config), servers(1_024));
     (0..10_000).for_each(|request| leases.read_lost(request, &"a", 3, AttemptEnd::Unanswered, ms(0)));
     let (mut now, mut at, mut most, mut made) = (ms(0), HashMap::<u64, usize>::new(), 0, 0);
     let mut calls = VecDeque::new();
@@ -89,14 +90,14 @@
     }
     assert!(leases.is_empty() && most <= 4, "{most}");
     assert!(made <= 20_000, "{made}: each was lost, and is released twice");
-    assert_eq!(leases.late(), 0, "{now:?}");
-    let counts = leases.counts();
+    assert_eq!(leases.late_count(), 0, "{now:?}");
+    let counts = leases.release_counts();
     assert_eq!((counts.needed, counts.repeated, counts.under_attempt), (10_000, 10_000, 0));
 }
 
 #[test]
 fn what_nobody_releases_is_told_once_and_abandoned() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(0));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(0));
     leases.read_ended(1, &"a", 9, ms(0));
     assert!(leases.poll(ms(100), &reach).is_empty(), "a writer may still take it");
     let (mut late, mut abandoned, mut calls) = (0, 0, 0);
@@ -104,11 +105,11 @@
         let now = ms(step * 5);
         for action in leases.poll(now, &reach) {
             match action {
-                Action::Late { held, .. } => {
+                Action::ReleaseLate { held, .. } => {
                     late += 1;
                     assert!(held >= ms(800) && held < ms(1_000));
                 }
-                Action::Abandoned { .. } => abandoned += 1,
+                Action::LeaseAbandoned { .. } => abandoned += 1,
                 Action::SendRelease { request, server, .. } => {
                     calls += 1;
                     leases.release_ended(request, server, ReleaseOutcome::Failed, now, &reach);
@@ -117,13 +118,13 @@
             }
         }
     }
-    assert_eq!((late, abandoned, leases.len(), leases.late()), (1, 1, 0, 1));
+    assert_eq!((late, abandoned, leases.len(), leases.late_count()), (1, 1, 0, 1));
     assert!(calls <= 30, "{calls}");
 }
 
 #[test]
 fn a_server_that_refuses_has_the_next_one_asked_at_once() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(10));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(10));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     let first = asked(leases.poll(ms(0), &reach));
     leases.release_ended(1, first[0], ReleaseOutcome::Failed, ms(1), &reach);
@@ -134,7 +135,7 @@
 /// An attempt waits for the release no longer than the rule's time: its client waits too.
 #[test]
 fn an_attempt_starts_in_the_end_though_nobody_releases() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(leases.attempt_starts(1, ms(0)), Permission::AfterRelease);
     let starts =
@@ -150,7 +151,7 @@
 /// nobody says whether it arrived, nor whether it waits.
 #[test]
 fn what_a_silent_writer_was_sent_for_is_released_again_while_the_attempt_is_out() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     assert_eq!(leases.attempt_starts(1, ms(5)), now_until(500));
     assert!(leases.poll(ms(499), &reach).is_empty());
@@ -160,7 +161,7 @@
     assert_eq!(asked(actions), [0]);
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(502), &reach);
     assert_eq!(play(&mut leases, &reach, 505, 2_500), [(1_000, 0), (1_500, 0), (2_000, 0)]);
-    assert_eq!(leases.counts().under_attempt, 4);
+    assert_eq!(leases.release_counts().under_attempt, 4);
     leases.answer_began(1, ms(2_500));
     assert!(leases.is_empty() && leases.next_due().is_none());
 }
@@ -169,7 +170,7 @@
 /// between has let go of nothing.
 #[test]
 fn what_was_released_under_an_attempt_is_released_after_its_end() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     assert_eq!(play(&mut leases, &reach, 10, 800), [(500, 0)]);
@@ -184,7 +185,7 @@
 /// answered before.
 #[test]
 fn what_is_not_released_after_an_attempts_end_counts_as_late() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     assert_eq!(play(&mut leases, &reach, 10, 800), [(500, 0)]);
@@ -195,18 +196,18 @@
             leases.release_ended(1, server, ReleaseOutcome::Failed, ms(now), &reach);
         }
     }
-    assert_eq!((leases.len(), leases.late()), (1, 1));
+    assert_eq!((leases.len(), leases.late_count()), (1, 1));
 }
 
 /// A rejection ends the attempt on both sides: one release that is sent after it is enough.
 #[test]
 fn what_a_late_rejection_leaves_is_released_once() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     assert_eq!(play(&mut leases, &reach, 10, 800), [(500, 0)]);
     leases.attempt_ended(1, 2, AttemptEnd::Answered, ms(800));
-    assert_eq!(leases.counts().in_vain, 1);
+    assert_eq!(leases.release_counts().in_vain, 1);
     leases.request_closed(1, ms(800));
     assert_eq!(play(&mut leases, &reach, 800, 3_000), [(800, 0)]);
     assert!(leases.is_empty());
@@ -215,7 +216,7 @@
 /// A release that was sent before an attempt's end proves nothing about what that attempt leaves, whenever it is answered.
 #[test]
 fn a_release_that_crosses_an_attempts_end_proves_nothing() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     assert_eq!(asked(leases.poll(ms(500), &reach)), [0]);
@@ -230,7 +231,7 @@
 /// A 410 is the writer's word, who may be cut off from the reader.
 #[test]
 fn what_a_writer_did_not_find_is_released_all_the_same() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::StateNotFound, ms(20));
@@ -242,7 +243,7 @@
 /// for four seconds at most.
 #[test]
 fn releases_are_repeated_while_the_writer_is_in_doubt() {
-    let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, mut reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(100));
@@ -268,7 +269,7 @@
 /// Who answers a release may be cut off from the reader: it is repeated until the reader is in reach.
 #[test]
 fn releases_are_repeated_while_the_reader_is_in_doubt() {
-    let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, mut reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     reach.failed(0, ms(10));
     leases.request_closed(1, ms(10));
@@ -282,7 +283,7 @@
 /// A read that was given up may end well after the answer of a later attempt has begun.
 #[test]
 fn what_a_lost_read_leaves_behind_an_answer_is_released() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(play(&mut leases, &reach, 0, 10), [(0, 0)]);
     leases.attempt_starts(1, ms(10));
@@ -298,7 +299,7 @@
 /// An attempt that awaited a conclusive release is remembered: what is read after it is released once it can wait no longer.
 #[test]
 fn an_attempt_that_awaited_a_release_is_remembered_by_the_next_read() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     assert_eq!(asked(leases.poll(ms(500), &reach)), [0]);
     assert_eq!(leases.attempt_starts(1, ms(500)), Permission::AfterRelease);
@@ -316,7 +317,7 @@
 /// Nobody answers while an attempt is out: its lease is known when it ends, however late that is.
 #[test]
 fn a_lease_is_not_abandoned_while_its_attempt_is_out() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     for now in (500..8_000).step_by(5) {
@@ -334,7 +335,7 @@
 /// A call on a connection that its server closed may never have been read: the clock has been running.
 #[test]
 fn a_closed_connection_does_not_stop_the_clock() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::Closed, ms(400));
@@ -345,7 +346,7 @@
 /// What was released since the attempt's end is not released again before its server must have noticed.
 #[test]
 fn a_request_that_closes_does_not_hurry_a_second_release() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(play(&mut leases, &reach, 0, 10), [(0, 0)]);
     leases.request_closed(1, ms(10));
@@ -356,7 +357,7 @@
 /// An attempt that was never sent waited for nothing: a release that was under way when it ended is as good as before.
 #[test]
 fn an_attempt_that_was_not_sent_makes_no_release_doubtful() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.release(1, ms(10));
     assert_eq!(asked(leases.poll(ms(10), &reach)), [0]);
@@ -370,7 +371,7 @@
 /// What may be left has reached its limit: an attempt waits for its release, and does not begin past its own time.
 #[test]
 fn an_attempt_waits_for_a_repeated_release_that_is_due() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(play(&mut leases, &reach, 0, 10), [(0, 0)]);
     assert_eq!(leases.attempt_starts(1, ms(600)), Permission::AfterRelease);
@@ -379,7 +380,7 @@
 /// The answer begins while its state is being released: the calls end, and nothing is counted as late.
 #[test]
 fn an_answer_ends_a_release_that_is_under_way() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(0));
     assert_eq!(asked(leases.poll(ms(500), &reach)), [0]);
@@ -387,13 +388,13 @@
     let ended = Action::ReleasesEnded { request: 1, write_by: None };
     assert!(leases.poll(ms(501), &reach).contains(&ended));
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(502), &reach);
-    assert!(leases.is_empty() && leases.next_due().is_none() && leases.late() == 0);
+    assert!(leases.is_empty() && leases.next_due().is_none() && leases.late_count() == 0);
 }
 
 /// A later read of the same request waits for the release of the earlier one's state, which would take its own.
 #[test]
 fn a_second_read_waits_for_a_release_that_began_under_an_attempt() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(0));
     assert_eq!(asked(leases.poll(ms(500), &reach)), [0]);
@@ -412,7 +413,7 @@
 /// the release that is under way ends.
 #[test]
 fn a_read_ends_a_release_of_what_an_earlier_one_left() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(asked(leases.poll(ms(0), &reach)), [0]);
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(2), &reach);
@@ -430,7 +431,7 @@
 /// The end of the attempt under which a release began does not hurry it: its next round stays when it was.
 #[test]
 fn the_end_of_an_attempt_does_not_hurry_a_release() {
-    let (mut leases, reach) = (Leases::new(TERMS), servers(10));
+    let (mut leases, reach) = (Leases::new(CONFIG), servers(10));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(0));
     assert_eq!(asked(leases.poll(ms(500), &reach)), [0]);
@@ -466,7 +467,7 @@
 /// releases are repeated, though others answered them, until it must have gone on.
 #[test]
 fn a_lost_read_is_released_until_its_reader_runs() {
-    let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, mut reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     leases.request_closed(1, ms(0));
     let releases = play_beside_stopped(&mut leases, &mut reach, 0, (0, 3_000, 8_000));
@@ -479,7 +480,7 @@
 /// The same for a writer, whose attempt waits for the state until it goes on and notices its end.
 #[test]
 fn a_state_is_released_until_the_writer_of_a_given_up_attempt_runs() {
-    let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, mut reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(100));
@@ -492,7 +493,7 @@
 /// What is heard of a server on any connection shows that it runs: it need not be asked.
 #[test]
 fn a_server_that_is_heard_since_runs() {
-    let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, mut reach) = (Leases::new(CONFIG), servers(3));
     leases.read_ended(1, &"a", 0, ms(0));
     leases.attempt_starts(1, ms(5));
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(100));
@@ -507,7 +508,7 @@
 /// One that never runs again is waited for no longer than four seconds behind the first answer.
 #[test]
 fn a_server_that_never_runs_again_is_not_waited_for_without_end() {
-    let (mut leases, mut reach) = (Leases::new(TERMS), servers(3));
+    let (mut leases, mut reach) = (Leases::new(CONFIG), servers(3));
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     leases.request_closed(1, ms(0));
     let releases = play_beside_stopped(&mut leases, &mut reach, 0, (0, 20_000, 10_000));
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -15,7 +15,7 @@
 use fawnstream_attempts::invariants::{Rule, Violations};
 use fawnstream_attempts::{Attempts, Repeat};
 use fawnstream_fleet::start_times::{Clocks, StartTimes};
-use fawnstream_leases::{AttemptEnd, Leases, Permission, ReleaseOutcome, Terms};
+use fawnstream_leases::{AttemptEnd, LeaseConfig, Leases, Permission, ReleaseOutcome};
 use fawnstream_ledger::book::Used;
 use fawnstream_ledger::entry::Tokens;
 use leases::Releases;
@@ -270,7 +270,7 @@
     pub fn new(
         settings: Settings,
         names: shedrelay_settings::Names,
-        terms: Terms,
+        terms: LeaseConfig,
         seed: u64,
         usage: Option<Rc<Usage>>,
     ) -> Result<Rc<Self>, SettingsError> {
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -45,12 +45,12 @@
     /// Requests for which something is held or being released, and those for which something was held too long.
     pub fn leases(&self) -> (usize, u64) {
         let leases = self.leases.borrow();
-        (leases.len(), leases.late())
+        (leases.len(), leases.late_count())
     }
 
     /// Releases that were answered, by kind.
     pub fn releases(&self) -> ReleaseCounts {
-        self.leases.borrow().counts()
+        self.leases.borrow().release_counts()
     }
 
     /// Requests of which something was let go of while an attempt was out, and those of them whose attempt was answered.
@@ -89,7 +89,7 @@
                             let _ = go.send(write_by.map(|at| self.instant(at)));
                         }
                     }
-                    Action::Late { label, reader, held, reason } => {
+                    Action::ReleaseLate { label, reader, held, reason } => {
                         let at = self.server(ServerId(reader));
                         let (ms, server) = (held.as_millis(), self::label(&at));
                         log!(
@@ -98,7 +98,7 @@
                         );
                         self.violations.count(Rule::HoldReleased);
                     }
-                    Action::Abandoned { label, reader } => {
+                    Action::LeaseAbandoned { label, reader } => {
                         let at = self.server(ServerId(reader));
                         log!("hold forgotten id={label} server={}", self::label(&at));
                     }
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -114,11 +114,11 @@
         true => fawnstream_fleet::calls::Manner::Asked,
         false => fawnstream_fleet::calls::Manner::Pushed,
     };
-    let terms = fawnstream_leases::Terms {
-        within: Duration::from_nanos(config.links.release_within.0),
+    let terms = fawnstream_leases::LeaseConfig {
+        release_within: Duration::from_nanos(config.links.release_within.0),
         grace: HELD_MORE,
         close_arrives_within: servers::close_arrives_within(config.links),
-        at_once: config.release_sockets,
+        max_concurrent_releases: config.release_sockets,
         seed: config.seed,
     };
     let core = core::Core::new(config.settings, config.names, terms, config.seed, usage.clone())?;
@@ -227,7 +227,7 @@
     while under_way() && Instant::now() < last {
         if requests_are_open() {
             only_leases_since = None;
-        } else if only_leases_since.get_or_insert_with(Instant::now).elapsed() > terms.time_to_release() {
+        } else if only_leases_since.get_or_insert_with(Instant::now).elapsed() > terms.release_time_limit() {
             // What nobody has let go of in the rule's time is late, and "what a stopped instance left is freed some
             // seconds later".
             log!("stopping leases={} reason=time-to-release-over", core.leases().0);
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -24,7 +24,7 @@
 use fawnstream_attempts::TRANSIT;
 use fawnstream_attempts::decisions::{NotBegun, SignOfLife};
 use fawnstream_attempts::delivery::Delivery;
-use fawnstream_leases::{ReleaseOutcome, Terms};
+use fawnstream_leases::{LeaseConfig, ReleaseOutcome};
 use futures_core::Stream;
 pub use link::Traced;
 use link::{Begin, Dialler, Lane, Pool, Raw, Watched};
@@ -80,13 +80,13 @@
         core: Rc<Core>,
         links: shedrelay_settings::Links,
         sockets: usize,
-        terms: Terms,
+        terms: LeaseConfig,
         handover: Rc<Handover>,
     ) -> Rc<Self> {
-        let pool = Pool::new(links, sockets, terms.at_once, core.dispatch_counter());
+        let pool = Pool::new(links, sockets, terms.max_concurrent_releases, core.dispatch_counter());
         pool.clone().sweep();
         let closings = Closings::new(close_arrives_within(links));
-        Rc::new(Fleet { core, pool, handover, closings, patience: terms.patience() })
+        Rc::new(Fleet { core, pool, handover, closings, patience: terms.release_timeout() })
     }
 
     fn way(&self) -> Way<'_> {
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -11,7 +11,7 @@
 use fawnstream::list::discovery::follow;
 use fawnstream::servers::{Fleet, close_arrives_within};
 use fawnstream_fleet::calls::{Calls, Manner};
-use fawnstream_leases::Terms;
+use fawnstream_leases::LeaseConfig;
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use shedrelay::{ClassId, Key, ServerState, TenantId};
@@ -140,11 +140,11 @@
 fn router(common: &Common, number: usize) -> Option<Rc<Core>> {
     let (settings, names, links) = parts(&common.size, number).ok()?;
     let seed = common.conditions.seed.wrapping_add(number as u64);
-    let terms = Terms {
-        within: Duration::from_nanos(links.release_within.0),
+    let terms = LeaseConfig {
+        release_within: Duration::from_nanos(links.release_within.0),
         grace: HELD_MORE,
         close_arrives_within: close_arrives_within(links),
-        at_once: 2,
+        max_concurrent_releases: 2,
         seed,
     };
     let calls = Calls::new(settings.routers, seed);
