--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -13,7 +13,7 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{HttpMessage as _, Method, Request, Response, ResponseBuilder, StatusCode, Version, h1, ws};
 use bytes::Bytes;
-use fawnstream_sessions::Turned;
+use fawnstream_sessions::Refusal;
 use shedrelay::TenantId;
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -183,11 +183,11 @@
     response.force_close().finish().map_into_boxed_body()
 }
 
-fn turned(why: Turned, again: Duration) -> Response<BoxBody> {
+fn turned(why: Refusal, again: Duration) -> Response<BoxBody> {
     match why {
-        Turned::Tenant => later(StatusCode::TOO_MANY_REQUESTS, again),
+        Refusal::TenantLimit => later(StatusCode::TOO_MANY_REQUESTS, again),
         // It may have run: nothing says that it may be made again.
-        Turned::Failed => {
+        Refusal::UpgradeFailed => {
             Response::build(StatusCode::BAD_GATEWAY).force_close().finish().map_into_boxed_body()
         }
         _ => later(StatusCode::SERVICE_UNAVAILABLE, again),
@@ -218,7 +218,7 @@
         }
     };
     let tenant_name = shared.core.tenant_name(tenant).to_owned();
-    let turn_away = |name: &str, why: Turned| {
+    let turn_away = |name: &str, why: Refusal| {
         crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", turned_name(why));
     };
     let mut member = match live.ask(tenant, route.safe) {
@@ -253,9 +253,9 @@
                 return refuse(wire, turned(why, again), conn.as_ref()).await;
             }
             Some(Order::Close(_, again)) => {
-                turn_away(&name, Turned::Away);
-                member.turned(turned_name(Turned::Away));
-                return refuse(wire, turned(Turned::Away, again), conn.as_ref()).await;
+                turn_away(&name, Refusal::Draining);
+                member.turned(turned_name(Refusal::Draining));
+                return refuse(wire, turned(Refusal::Draining, again), conn.as_ref()).await;
             }
             None => break None,
         }
@@ -271,7 +271,7 @@
     let written = Pin::new(&mut wire).write(h1::Message::Item((head, size))).is_ok();
     let out = poll_fn(|cx| Pin::new(&mut wire).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
     let out = written && matches!(actix_rt::time::timeout(ANSWER_TIME, out).await, Ok(Ok(())));
-    member.tried(fawnstream_sessions::Attempt::Taken);
+    member.tried(fawnstream_sessions::AttemptOutcome::Opened);
     if !out {
         crate::log!("websocket id={name} server={label} code=client-left");
         return member.turned("client-left");
--- a/router/src/config/websocket.rs
+++ b/router/src/config/websocket.rs
@@ -2,7 +2,7 @@
 //! bounds them.
 
 use super::ConfigError;
-use fawnstream_sessions::{Rules, Warmth};
+use fawnstream_sessions::{Rules, SlowStart};
 use serde::Deserialize;
 use shedrelay::{ClassId, Effect, KindId, Role, Settings, TenantId};
 use shedrelay_settings::Names;
@@ -231,18 +231,21 @@
         let routers = settings.routers.max(1) as usize;
         let rules = Rules {
             routers: settings.routers,
-            most,
-            most_at_server: told.most_at_server.div_ceil(routers),
-            most_of_tenant: told.most_of_tenant.unwrap_or(most),
-            most_waiting: told.moving.most_waiting,
-            longest_wait: told.moving.longest_wait_ms,
+            max_sessions: most,
+            max_per_server: told.most_at_server.div_ceil(routers),
+            max_per_tenant: told.most_of_tenant.unwrap_or(most),
+            max_waiting_moves: told.moving.most_waiting,
+            max_move_wait: told.moving.longest_wait_ms,
             // As many as all turns of a second could serve; the wait bounds them further.
-            most_asking: most.min(1_024),
-            longest_ask: LONGEST_ASK_MS,
-            tries: settings.max_attempts.clamp(1, 3),
-            away_over: AWAY_OVER_MS,
-            warm_per_s: told.new_per_s,
-            warmth: Warmth { cold_share: settings.rules.cold_share, cold: settings.rules.cold.0 / 1_000_000 },
+            max_queued: most.min(1_024),
+            max_queue_wait: LONGEST_ASK_MS,
+            max_attempts: settings.max_attempts.clamp(1, 3),
+            drain_duration: AWAY_OVER_MS,
+            warm_opens_per_s: told.new_per_s,
+            slow_start: SlowStart {
+                cold_share: settings.rules.cold_share,
+                warm_up: settings.rules.cold.0 / 1_000_000,
+            },
         };
         Ok(WebSocket {
             listen: told.listen,
--- a/router/src/live.rs
+++ b/router/src/live.rs
@@ -9,7 +9,7 @@
 use crate::core::{Core, News, Server};
 use crate::lifecycle::Lifecycle;
 use fawnstream_sessions::{
-    Action, Attempt, Code, Counts, Millis, ServerId, SessionId, Sessions, TenantId, Turned,
+    Action, AttemptOutcome, CloseCause, Counts, Millis, Refusal, ServerId, SessionId, Sessions, TenantId,
 };
 use shedrelay::ServerState;
 use std::cell::{Cell, RefCell};
@@ -28,9 +28,9 @@
     /// Open an upstream there; the first, or one in place of what it has.
     Try(Rc<Server>),
     /// It is not let in.
-    Turn(Turned, Duration),
+    Turn(Refusal, Duration),
     /// Close it in order.
-    Close(Code, Duration),
+    Close(CloseCause, Duration),
 }
 
 /// What the router keeps of a connection, besides its relay.
@@ -73,14 +73,14 @@
 }
 
 /// The name of a reason to turn a connection away, for the log and the figures.
-pub fn turned_name(why: Turned) -> &'static str {
+pub fn turned_name(why: Refusal) -> &'static str {
     match why {
-        Turned::Tenant => "tenant-full",
-        Turned::Router => "router-full",
-        Turned::Busy => "no-turn",
-        Turned::Full => "servers-full",
-        Turned::Failed => "failed",
-        Turned::Away => "going-away",
+        Refusal::TenantLimit => "tenant-full",
+        Refusal::RouterLimit => "router-full",
+        Refusal::QueueTimeout => "no-turn",
+        Refusal::NoServerAccepted => "servers-full",
+        Refusal::UpgradeFailed => "failed",
+        Refusal::Draining => "going-away",
     }
 }
 
@@ -141,10 +141,10 @@
                 let server = ServerId(news.server.0);
                 match news.state {
                     ServerState::Active if news.kind.is_some_and(|kind| told.kinds.contains(&kind)) => {
-                        sessions.listed(server, news.up_since.map(|up| up.0 / 1_000_000), now);
+                        sessions.server_listed(server, news.up_since.map(|up| up.0 / 1_000_000), now);
                     }
-                    ServerState::Left => sessions.drains(server, true, now),
-                    _ => sessions.drains(server, false, now),
+                    ServerState::Left => sessions.server_draining(server, true, now),
+                    _ => sessions.server_draining(server, false, now),
                 }
             }
         }
@@ -159,8 +159,8 @@
             {
                 let mut sessions = self.sessions.borrow_mut();
                 match life.phase().sends_away() {
-                    true => sessions.go_away(now),
-                    false => sessions.come_back(),
+                    true => sessions.start_drain(now),
+                    false => sessions.end_drain(),
                 }
             }
             let actions = {
@@ -172,7 +172,7 @@
                 self.sessions.borrow_mut().tick(now, place)
             };
             actions.into_iter().for_each(|action| self.perform(action));
-            let wake = self.sessions.borrow().wake();
+            let wake = self.sessions.borrow().next_due();
             // Never at once: other work comes between two parts of what takes long.
             let wait = wake.map(|wake| Duration::from_millis(wake.saturating_sub(self.now()).max(1)));
             let time = async {
@@ -196,13 +196,17 @@
                 let server = self.core.server(shedrelay::ServerId(to.0));
                 // Told of as gone between the choice and now: it was never tried.
                 let Some(server) = server.filter(|server| server.told.get().is_none()) else {
-                    return self.tried(session, Attempt::Never);
+                    return self.tried(session, AttemptOutcome::NotRun);
                 };
                 self.weigh(session, |kept| kept.to = Some(to));
                 self.order(session, Order::Try(server));
             }
-            Action::Turn { session, why, again } => self.order(session, Order::Turn(why, after(again))),
-            Action::Close { session, code, again } => self.order(session, Order::Close(code, after(again))),
+            Action::Refuse { session, reason, retry_after } => {
+                self.order(session, Order::Turn(reason, after(retry_after)))
+            }
+            Action::Close { session, cause, retry_after } => {
+                self.order(session, Order::Close(cause, after(retry_after)))
+            }
         }
     }
 
@@ -242,12 +246,12 @@
         self: &Rc<Self>,
         tenant: Option<shedrelay::TenantId>,
         safe: bool,
-    ) -> Result<Member, (Turned, Duration)> {
+    ) -> Result<Member, (Refusal, Duration)> {
         let id = SessionId(self.last.get() + 1);
         self.last.set(id.0);
         // Without keys all are one customer.
         let tenant = TenantId(tenant.map_or(u64::MAX, |tenant| tenant.0 as u64));
-        let asked = self.sessions.borrow_mut().ask(id, tenant, safe, self.now());
+        let asked = self.sessions.borrow_mut().enqueue(id, tenant, safe, self.now());
         if let Err((why, again)) = asked {
             self.refused(turned_name(why));
             return Err((why, Duration::from_millis(again)));
@@ -267,10 +271,10 @@
         change(&mut self.figures.borrow_mut());
     }
 
-    fn tried(&self, session: SessionId, attempt: Attempt) {
-        let taken = attempt == Attempt::Taken;
+    fn tried(&self, session: SessionId, attempt: AttemptOutcome) {
+        let taken = attempt == AttemptOutcome::Opened;
         let first = self.kept.borrow().get(&session).is_some_and(|kept| !kept.open);
-        let action = self.sessions.borrow_mut().tried(session, attempt, self.now());
+        let action = self.sessions.borrow_mut().attempt_ended(session, attempt, self.now());
         self.weigh(session, |kept| {
             let to = kept.to.take();
             (kept.at, kept.open) = (if taken { to } else { kept.at }, kept.open || taken);
@@ -309,7 +313,7 @@
     }
 
     /// An attempt has ended.
-    pub fn tried(&self, attempt: Attempt) {
+    pub fn tried(&self, attempt: AttemptOutcome) {
         self.live.tried(self.id, attempt);
     }
 
@@ -320,7 +324,7 @@
 
     /// Its upstream broke.
     pub fn broke(&self) {
-        let action = self.live.sessions.borrow_mut().broke(self.id, self.live.now());
+        let action = self.live.sessions.borrow_mut().upstream_broke(self.id, self.live.now());
         self.live.weigh(self.id, |kept| kept.at = None);
         if let Some(action) = action {
             self.live.perform(action);
@@ -332,7 +336,7 @@
     pub fn movable(&mut self, movable: bool) {
         if self.movable != movable {
             self.movable = movable;
-            self.live.sessions.borrow_mut().movable(self.id, movable);
+            self.live.sessions.borrow_mut().set_movable(self.id, movable);
         }
     }
 
@@ -360,7 +364,7 @@
         self.live.bytes.set(self.live.bytes.get() - self.bytes);
         self.live.weigh(self.id, |kept| (kept.at, kept.to) = (None, None));
         self.live.kept.borrow_mut().remove(&self.id);
-        self.live.sessions.borrow_mut().ended(self.id);
+        self.live.sessions.borrow_mut().session_ended(self.id);
         self.live.changed.notify_one();
     }
 }
--- a/router/src/live/relay.rs
+++ b/router/src/live/relay.rs
@@ -9,7 +9,7 @@
 use crate::servers::upgrade::{self, Ask, Refused, Upstream};
 use actix_http::ws::{CloseCode, CloseReason, Frame, Message};
 use bytes::Bytes;
-use fawnstream_sessions::{Attempt, Code};
+use fawnstream_sessions::{AttemptOutcome, CloseCause};
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -233,9 +233,9 @@
             }
             Some(Order::Close(code, again)) => {
                 let (name, number) = match code {
-                    Code::Away => ("server-gone", 1001),
-                    Code::Restart => ("restart", 1012),
-                    Code::TryLater => ("try-later", 1013),
+                    CloseCause::ServerGone => ("server-gone", 1001),
+                    CloseCause::Restart => ("restart", 1012),
+                    CloseCause::TryLater => ("try-later", 1013),
                 };
                 self.finish(name, number, &format!("come again in {:.3} s", again.as_secs_f64()));
             }
@@ -280,7 +280,11 @@
         let upstream = attempt.and_then(|upstream| match upstream.protocol == self.protocol {
             true => Ok(upstream),
             // The client speaks the one that it was told.
-            false => Err(Refused { attempt: Attempt::Maybe, reason: "other-protocol", unusable: false }),
+            false => Err(Refused {
+                attempt: AttemptOutcome::MayHaveRun,
+                reason: "other-protocol",
+                unusable: false,
+            }),
         });
         match upstream {
             Ok(upstream) => {
@@ -288,7 +292,7 @@
                 log!("websocket moved id={} from={} to={}", self.member.name(), self.label, moving.label);
                 (self.server, self.label) = (Some(upstream.leg), moving.label);
                 self.moves += 1;
-                self.member.tried(Attempt::Taken);
+                self.member.tried(AttemptOutcome::Opened);
             }
             Err(error) => {
                 let (name, label) = (self.member.name(), moving.label);
@@ -475,7 +479,7 @@
         }
         if self.moving.as_ref().is_some_and(|moving| moving.attempt.is_none() && moving.until <= now) {
             self.moving = None;
-            self.member.tried(Attempt::NotNow);
+            self.member.tried(AttemptOutcome::Deferred);
         }
         let paused = !self.server.as_ref().is_some_and(Leg::has_room) || self.moving.is_some();
         match sign(
--- a/router/src/operators/figures.rs
+++ b/router/src/operators/figures.rs
@@ -107,9 +107,9 @@
     if let Some(live) = &shared.live {
         let (now, figures) = live.figures();
         page.gauge("websocket_open", "Long-lived connections that have their server.", now.open);
-        page.gauge("websocket_asking", "New ones that wait for a server's turn.", now.asking);
-        page.gauge("websocket_waiting", "Long-lived connections that wait for a move.", now.waiting);
-        page.gauge("websocket_trying", "Attempts under way to open or move one.", now.trying);
+        page.gauge("websocket_asking", "New ones that wait for a server's turn.", now.queued);
+        page.gauge("websocket_waiting", "Long-lived connections that wait for a move.", now.awaiting_move);
+        page.gauge("websocket_trying", "Attempts under way to open or move one.", now.attempting);
         page.counter("websocket_opened", "Long-lived connections let in.", figures.opened);
         page.counter("websocket_moved", "Moves to another server.", figures.moved);
         page.counter("websocket_put_off", "Moves that came to nothing.", figures.put_off);
--- a/router/src/servers/upgrade.rs
+++ b/router/src/servers/upgrade.rs
@@ -5,7 +5,7 @@
 use crate::leg::Leg;
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue, SEC_WEBSOCKET_PROTOCOL};
 use awc::error::{SendRequestError, WsClientError};
-use fawnstream_sessions::Attempt;
+use fawnstream_sessions::AttemptOutcome;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -35,14 +35,14 @@
 #[error("{reason}")]
 pub struct Refused {
     /// What may have run.
-    pub attempt: Attempt,
+    pub attempt: AttemptOutcome,
     /// For the log.
     pub reason: &'static str,
     /// No other server would take it either.
     pub unusable: bool,
 }
 
-fn refused(attempt: Attempt, reason: &'static str) -> Refused {
+fn refused(attempt: AttemptOutcome, reason: &'static str) -> Refused {
     Refused { attempt, reason, unusable: false }
 }
 
@@ -50,14 +50,18 @@
     match error {
         WsClientError::InvalidResponseStatus(status) => match status.as_u16() {
             // Said before anything of it ran.
-            429 | 503 => refused(Attempt::Never, "turned-away"),
-            400..=499 => Refused { unusable: true, ..refused(Attempt::Never, "unusable") },
-            _ => refused(Attempt::Maybe, "error"),
+            429 | 503 => refused(AttemptOutcome::NotRun, "turned-away"),
+            400..=499 => Refused { unusable: true, ..refused(AttemptOutcome::NotRun, "unusable") },
+            _ => refused(AttemptOutcome::MayHaveRun, "error"),
         },
-        WsClientError::SendRequest(SendRequestError::Connect(_)) => refused(Attempt::Never, "no-connection"),
-        WsClientError::SendRequest(SendRequestError::Timeout) => refused(Attempt::Maybe, "upgrade-timeout"),
-        WsClientError::SendRequest(_) => refused(Attempt::Maybe, "reset"),
-        _ => refused(Attempt::Maybe, "bad-upgrade"),
+        WsClientError::SendRequest(SendRequestError::Connect(_)) => {
+            refused(AttemptOutcome::NotRun, "no-connection")
+        }
+        WsClientError::SendRequest(SendRequestError::Timeout) => {
+            refused(AttemptOutcome::MayHaveRun, "upgrade-timeout")
+        }
+        WsClientError::SendRequest(_) => refused(AttemptOutcome::MayHaveRun, "reset"),
+        _ => refused(AttemptOutcome::MayHaveRun, "bad-upgrade"),
     }
 }
 
@@ -65,7 +69,9 @@
 fn chosen(ask: &Ask, fields: &HeaderMap) -> Result<Option<String>, Refused> {
     let Some(value) = fields.get(SEC_WEBSOCKET_PROTOCOL) else { return Ok(None) };
     let known = value.to_str().ok().filter(|value| ask.protocols.iter().any(|asked| asked == value));
-    known.map(|value| Some(value.to_owned())).ok_or_else(|| refused(Attempt::Maybe, "bad-protocol"))
+    known
+        .map(|value| Some(value.to_owned()))
+        .ok_or_else(|| refused(AttemptOutcome::MayHaveRun, "bad-protocol"))
 }
 
 /// Opens a connection and upgrades it; `last_id`: the message behind which the server goes on.
@@ -101,7 +107,7 @@
     let protocol = chosen(&ask, answer.headers())?;
     if answer.headers().contains_key("sec-websocket-extensions") {
         // None was asked for: its frames could not be read.
-        return Err(refused(Attempt::Maybe, "bad-extension"));
+        return Err(refused(AttemptOutcome::MayHaveRun, "bad-extension"));
     }
     let parts = framed.into_parts();
     let leg = Leg::new(Box::new(parts.io), parts.read_buf, limits.frame, false);
--- a/sessions/benches/size.rs
+++ b/sessions/benches/size.rs
@@ -1,6 +1,8 @@
 //! What an event costs at size: `cargo bench -p fawnstream-sessions`. 1,000 servers and 10,000 or 100,000 connections.
 
-use fawnstream_sessions::{AT_ONCE, Action, Attempt, Rules, ServerId, SessionId, Sessions, TenantId, Warmth};
+use fawnstream_sessions::{
+    Action, AttemptOutcome, MAX_ACTIONS_PER_TICK, Rules, ServerId, SessionId, Sessions, SlowStart, TenantId,
+};
 
 fn main() {
     divan::main();
@@ -11,30 +13,30 @@
 fn rules() -> Rules {
     Rules {
         routers: 1,
-        most: 1_000_000,
-        most_at_server: 100_000,
-        most_of_tenant: 1_000_000,
-        most_waiting: 1_000_000,
-        longest_wait: 4_000,
-        most_asking: 1_000_000,
-        longest_ask: 400,
-        tries: 2,
-        away_over: 1_500,
-        warm_per_s: 100_000.0,
-        warmth: Warmth { cold_share: 0.3, cold: 10_000 },
+        max_sessions: 1_000_000,
+        max_per_server: 100_000,
+        max_per_tenant: 1_000_000,
+        max_waiting_moves: 1_000_000,
+        max_move_wait: 4_000,
+        max_queued: 1_000_000,
+        max_queue_wait: 400,
+        max_attempts: 2,
+        drain_duration: 1_500,
+        warm_opens_per_s: 100_000.0,
+        slow_start: SlowStart { cold_share: 0.3, warm_up: 10_000 },
     }
 }
 
 /// So many connections at 1,000 servers.
 fn full(connections: u64) -> Sessions {
     let mut sessions = Sessions::new(rules(), 1);
-    (0..SERVERS).for_each(|server| sessions.listed(ServerId(server), None, 0));
+    (0..SERVERS).for_each(|server| sessions.server_listed(ServerId(server), None, 0));
     for id in 0..connections {
         let now = id;
-        sessions.ask(SessionId(id), TenantId(id % 8), true, now).unwrap();
+        sessions.enqueue(SessionId(id), TenantId(id % 8), true, now).unwrap();
         for action in sessions.tick(now, |_, offered| offered.first().copied()) {
             let Action::Open { session, .. } = action else { panic!("turned away") };
-            sessions.tried(session, Attempt::Taken, now);
+            sessions.attempt_ended(session, AttemptOutcome::Opened, now);
         }
     }
     sessions
@@ -46,10 +48,10 @@
     let (mut sessions, mut id) = (full(connections), connections);
     bencher.bench_local(move || {
         id += 1;
-        sessions.ask(SessionId(id), TenantId(id % 8), true, id).unwrap();
+        sessions.enqueue(SessionId(id), TenantId(id % 8), true, id).unwrap();
         let actions = sessions.tick(id, |_, offered| offered.last().copied());
-        sessions.tried(SessionId(id), Attempt::Taken, id);
-        sessions.ended(SessionId(id));
+        sessions.attempt_ended(SessionId(id), AttemptOutcome::Opened, id);
+        sessions.session_ended(SessionId(id));
         actions
     });
 }
@@ -59,8 +61,8 @@
 fn drain_and_list(bencher: divan::Bencher, connections: u64) {
     let mut sessions = full(connections);
     bencher.bench_local(move || {
-        sessions.drains(ServerId(7), false, 1_000_000);
-        sessions.listed(ServerId(7), None, 1_000_000);
+        sessions.server_draining(ServerId(7), false, 1_000_000);
+        sessions.server_listed(ServerId(7), None, 1_000_000);
     });
 }
 
@@ -70,12 +72,12 @@
     bencher
         .with_inputs(|| {
             let mut sessions = full(connections);
-            (0..SERVERS / 2).for_each(|server| sessions.drains(ServerId(server), false, 1_000_000));
+            (0..SERVERS / 2).for_each(|server| sessions.server_draining(ServerId(server), false, 1_000_000));
             sessions
         })
         .bench_local_refs(|sessions| {
             let actions = sessions.tick(1_000_000, |_, offered| offered.first().copied());
-            assert!(actions.len() <= AT_ONCE && !actions.is_empty());
+            assert!(actions.len() <= MAX_ACTIONS_PER_TICK && !actions.is_empty());
             actions
         });
 }
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -4,18 +4,18 @@
 //! module, among those that [`Sessions::tick`] offers.
 //!
 //! No event walks over all that is held: what takes time is handed out by [`Sessions::tick`] in parts of
-//! [`AT_ONCE`], at the times that [`Sessions::wake`] tells.
+//! [`MAX_ACTIONS_PER_TICK`], at the times that [`Sessions::next_due`] tells.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod asks;
-mod pace;
+mod fair_queue;
+mod servers;
 
-use asks::Asks;
-use pace::Fleet;
-pub use pace::Warmth;
+use fair_queue::Asks;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
+use servers::Fleet;
+pub use servers::SlowStart;
 use std::collections::{BTreeSet, HashMap};
 
 /// A server.
@@ -33,10 +33,10 @@
 /// Milliseconds, of a clock that never goes back.
 pub type Millis = u64;
 
-/// So many actions come of one tick at most; [`Sessions::wake`] says at once that there are more.
-pub const AT_ONCE: usize = 256;
+/// So many actions come of one tick at most; [`Sessions::next_due`] says at once that there are more.
+pub const MAX_ACTIONS_PER_TICK: usize = 256;
 /// So many servers are offered for a pick: a pick looks at each of them.
-pub const OFFERED: usize = 16;
+pub const MAX_OFFERED_SERVERS: usize = 16;
 /// One in so many turns goes to new connections while others wait for a move: a release may take most of what servers
 /// take, and must not shut the door.
 const NEW_EACH: u32 = 4;
@@ -49,51 +49,51 @@
     /// How many routers share the servers.
     pub routers: u32,
     /// Connections that this router may have.
-    pub most: usize,
+    pub max_sessions: usize,
     /// Connections that it may have at one server.
-    pub most_at_server: usize,
+    pub max_per_server: usize,
     /// Connections that it may have of one customer.
-    pub most_of_tenant: usize,
+    pub max_per_tenant: usize,
     /// Connections that may wait for a move.
-    pub most_waiting: usize,
+    pub max_waiting_moves: usize,
     /// None waits longer for its move to begin.
-    pub longest_wait: Millis,
+    pub max_move_wait: Millis,
     /// New connections that may wait for a server's turn.
-    pub most_asking: usize,
+    pub max_queued: usize,
     /// None of these waits longer.
-    pub longest_ask: Millis,
+    pub max_queue_wait: Millis,
     /// Servers tried for one opening or one move.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// When this router ends or is drained, its connections are closed evenly over this time.
-    pub away_over: Millis,
+    pub drain_duration: Millis,
     /// What a warm server takes, of all routers together, in new connections a second.
-    pub warm_per_s: f64,
+    pub warm_opens_per_s: f64,
     /// How servers warm up.
-    pub warmth: Warmth,
+    pub slow_start: SlowStart,
 }
 
 /// Why a new connection is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turned {
+pub enum Refusal {
     /// The customer has as many as it may (429).
-    Tenant,
+    TenantLimit,
     /// This router has, or as many wait as may (503).
-    Router,
+    RouterLimit,
     /// No server had a turn for it in time (503).
-    Busy,
+    QueueTimeout,
     /// All servers that were tried turned it away or could not be reached (503).
-    Full,
+    NoServerAccepted,
     /// A server may have begun it, and nothing came of it (502).
-    Failed,
+    UpgradeFailed,
     /// This router ends or is drained (503).
-    Away,
+    Draining,
 }
 
 /// Why a connection is closed: the code on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Code {
+pub enum CloseCause {
     /// 1001: its server has gone, or this router goes.
-    Away,
+    ServerGone,
     /// 1012: its server restarts, and it cannot be moved, or not in time.
     Restart,
     /// 1013: it was to move and no server took it.
@@ -102,28 +102,28 @@
 
 /// How an attempt to open an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Attempt {
+pub enum AttemptOutcome {
     /// It is open.
-    Taken,
+    Opened,
     /// It never ran: no connection, or the server said that it does not take it.
-    Never,
+    NotRun,
     /// It may have run.
-    Maybe,
+    MayHaveRun,
     /// It was not made, for a reason of the connection's own, such as a message under way.
-    NotNow,
+    Deferred,
 }
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Open the first upstream there; [`Sessions::tried`] hears how that went.
+    /// Open the first upstream there; [`Sessions::attempt_ended`] hears how that went.
     Open {
         /// The connection.
         session: SessionId,
         /// Where to.
         to: ServerId,
     },
-    /// Open a new upstream there in place of the one it has; [`Sessions::tried`] hears how that went.
+    /// Open a new upstream there in place of the one it has; [`Sessions::attempt_ended`] hears how that went.
     Move {
         /// The connection.
         session: SessionId,
@@ -131,22 +131,22 @@
         to: ServerId,
     },
     /// It is not let in.
-    Turn {
+    Refuse {
         /// The connection.
         session: SessionId,
         /// Why.
-        why: Turned,
+        reason: Refusal,
         /// When its client may come again, from now.
-        again: Millis,
+        retry_after: Millis,
     },
     /// Close it in order.
     Close {
         /// The connection.
         session: SessionId,
         /// Why.
-        code: Code,
+        cause: CloseCause,
         /// When its client may come again, from now.
-        again: Millis,
+        retry_after: Millis,
     },
 }
 
@@ -182,11 +182,11 @@
     /// Connections that have their server.
     pub open: usize,
     /// New ones that wait for a server's turn.
-    pub asking: usize,
+    pub queued: usize,
     /// That wait for a move.
-    pub waiting: usize,
+    pub awaiting_move: usize,
     /// With an attempt under way, to open or to move.
-    pub trying: usize,
+    pub attempting: usize,
 }
 
 /// One router's long-lived connections.
@@ -203,7 +203,7 @@
     draining: BTreeSet<(Millis, ServerId)>,
     /// Connections that wait at those.
     at_draining: usize,
-    trying: usize,
+    attempting: usize,
     /// Turns that went to moves since the last one that went to a new connection.
     moves_in_turn: u32,
     /// No pick before this.
@@ -234,7 +234,7 @@
             lost: BTreeSet::new(),
             draining: BTreeSet::new(),
             at_draining: 0,
-            trying: 0,
+            attempting: 0,
             moves_in_turn: 0,
             stalled: 0,
             ages: BTreeSet::new(),
@@ -250,20 +250,20 @@
 
     /// How many there are now.
     pub fn counts(&self) -> Counts {
-        let (asking, waiting) = (self.asks.len(), self.at_draining + self.lost.len());
-        let open = self.sessions.len() - asking - waiting - self.trying;
-        Counts { open, asking, waiting, trying: self.trying }
+        let (queued, awaiting_move) = (self.asks.len(), self.at_draining + self.lost.len());
+        let open = self.sessions.len() - queued - awaiting_move - self.attempting;
+        Counts { open, queued, awaiting_move, attempting: self.attempting }
     }
 
     /// Connections at a server, those on their way there among them.
-    pub fn held(&self, server: ServerId) -> usize {
+    pub fn connections_at(&self, server: ServerId) -> usize {
         self.fleet.get(server).map_or(0, |server| server.held())
     }
 
     // The list.
 
     /// A server is listed and takes connections; `up_since`: when it last started, if that is not long ago.
-    pub fn listed(&mut self, server: ServerId, up_since: Option<Millis>, now: Millis) {
+    pub fn server_listed(&mut self, server: ServerId, up_since: Option<Millis>, now: Millis) {
         let drained = self.fleet.get(server).and_then(|known| Some((known.drains?, known.open.len())));
         if let Some((until, open)) = drained {
             self.draining.remove(&(until, server));
@@ -275,9 +275,9 @@
 
     /// A server drains (or, `gone`, is on no list any more): it gets nothing new, and its connections wait for their
     /// moves, the longest open first.
-    pub fn drains(&mut self, server: ServerId, gone: bool, now: Millis) {
+    pub fn server_draining(&mut self, server: ServerId, gone: bool, now: Millis) {
         let open = self.fleet.get(server).map_or(0, |known| known.open.len());
-        let until = now + self.rules.longest_wait;
+        let until = now + self.rules.max_move_wait;
         if self.fleet.drain(server, gone, until) && open > 0 {
             self.draining.insert((until, server));
             self.at_draining += open;
@@ -288,27 +288,27 @@
 
     /// A new connection of this customer wants in; `safe`: its upgrade may be made again where it may have run.
     /// [`Sessions::tick`] says where to, or that it is turned away.
-    pub fn ask(
+    pub fn enqueue(
         &mut self,
         session: SessionId,
         tenant: TenantId,
         safe: bool,
         now: Millis,
-    ) -> Result<(), (Turned, Millis)> {
+    ) -> Result<(), (Refusal, Millis)> {
         let rules = &self.rules;
         let why = match () {
-            () if self.away.is_some() => Some(Turned::Away),
-            () if self.of_tenant.get(&tenant).is_some_and(|held| *held >= rules.most_of_tenant) => {
-                Some(Turned::Tenant)
+            () if self.away.is_some() => Some(Refusal::Draining),
+            () if self.of_tenant.get(&tenant).is_some_and(|held| *held >= rules.max_per_tenant) => {
+                Some(Refusal::TenantLimit)
             }
-            () if self.sessions.len() >= rules.most => Some(Turned::Router),
-            () if self.asks.len() >= rules.most_asking => Some(Turned::Router),
+            () if self.sessions.len() >= rules.max_sessions => Some(Refusal::RouterLimit),
+            () if self.asks.len() >= rules.max_queued => Some(Refusal::RouterLimit),
             () => None,
         };
         if let Some(why) = why {
-            return Err((why, self.again(now)));
+            return Err((why, self.retry_after(now)));
         }
-        let until = now + rules.longest_ask;
+        let until = now + rules.max_queue_wait;
         *self.of_tenant.entry(tenant).or_default() += 1;
         self.asks.push(tenant, session, until);
         let state = State::Asking { until, tries: 0 };
@@ -318,7 +318,7 @@
     }
 
     /// Whether a connection may move now.
-    pub fn movable(&mut self, session: SessionId, movable: bool) {
+    pub fn set_movable(&mut self, session: SessionId, movable: bool) {
         if let Some(session) = self.sessions.get_mut(&session) {
             session.movable = movable;
         }
@@ -326,7 +326,7 @@
 
     /// An attempt that [`Action::Open`] or [`Action::Move`] asked for has ended. One whose connection ended meanwhile
     /// is ignored.
-    pub fn tried(&mut self, id: SessionId, attempt: Attempt, now: Millis) -> Option<Action> {
+    pub fn attempt_ended(&mut self, id: SessionId, attempt: AttemptOutcome, now: Millis) -> Option<Action> {
         let session = self.sessions.get(&id)?;
         let (new, from, to, until, tries) = match session.state {
             State::Opening { to, until, tries } => (true, None, to, until, tries),
@@ -334,8 +334,8 @@
             _ => return None,
         };
         let (safe, opened, tenant) = (session.safe, session.opened, session.tenant);
-        self.trying -= 1;
-        if attempt == Attempt::Taken {
+        self.attempting -= 1;
+        if attempt == AttemptOutcome::Opened {
             if let Some(from) = from {
                 self.leave(from, (opened, id));
             }
@@ -346,15 +346,15 @@
             self.set(id, State::Open { at: to });
             return None;
         }
-        let turned = matches!(attempt, Attempt::Never | Attempt::Maybe);
+        let turned = matches!(attempt, AttemptOutcome::NotRun | AttemptOutcome::MayHaveRun);
         self.fleet.lost(&self.rules, to);
         if turned {
             self.fleet.rest(&self.rules, to, now);
         }
         // Again where it cannot have run, or may run twice.
         let again = match attempt {
-            Attempt::Maybe => safe && tries < self.rules.tries,
-            _ => tries < self.rules.tries,
+            AttemptOutcome::MayHaveRun => safe && tries < self.rules.max_attempts,
+            _ => tries < self.rules.max_attempts,
         };
         match (new, from) {
             (true, _) if again && now < until => {
@@ -364,7 +364,11 @@
             }
             (true, _) => {
                 self.set(id, State::Asking { until, tries });
-                let why = if attempt == Attempt::Maybe { Turned::Failed } else { Turned::Full };
+                let why = if attempt == AttemptOutcome::MayHaveRun {
+                    Refusal::UpgradeFailed
+                } else {
+                    Refusal::NoServerAccepted
+                };
                 Some(self.turn(id, why, now))
             }
             // The upstream that it has goes on until its turn comes again, or its wait ends.
@@ -374,28 +378,31 @@
                     known.put_off += 1;
                 }
                 let waits = self.arrive(at, (opened, id));
-                (waits && !again).then(|| self.close(id, Code::TryLater, now))
+                (waits && !again).then(|| self.close(id, CloseCause::TryLater, now))
             }
             (false, None) => {
                 self.set(id, State::Lost { until, tries });
                 self.lost.insert((until, id));
-                (!again).then(|| self.close(id, Code::TryLater, now))
+                (!again).then(|| self.close(id, CloseCause::TryLater, now))
             }
         }
     }
 
     /// A connection's upstream broke. It waits for another one, if it may move; else it is closed now.
-    pub fn broke(&mut self, id: SessionId, now: Millis) -> Option<Action> {
+    pub fn upstream_broke(&mut self, id: SessionId, now: Millis) -> Option<Action> {
         let session = self.sessions.get(&id)?;
         let (opened, movable, state) = (session.opened, session.movable, session.state);
         match state {
             State::Open { at } => {
                 self.fleet.rest(&self.rules, at, now);
                 let gone = |at| self.fleet.get(at).is_none_or(|server| server.drains.is_some());
-                let code = if gone(at) { Code::Away } else { Code::Restart };
+                let code = if gone(at) { CloseCause::ServerGone } else { CloseCause::Restart };
                 let due = self.fleet.get(at).and_then(|server| server.drains);
-                let until = due.unwrap_or(now + self.rules.longest_wait);
-                if !movable || until <= now || self.at_draining + self.lost.len() >= self.rules.most_waiting {
+                let until = due.unwrap_or(now + self.rules.max_move_wait);
+                if !movable
+                    || until <= now
+                    || self.at_draining + self.lost.len() >= self.rules.max_waiting_moves
+                {
                     return Some(self.close(id, code, now));
                 }
                 self.leave(at, (opened, id));
@@ -414,7 +421,7 @@
     }
 
     /// A connection has ended, whoever ended it.
-    pub fn ended(&mut self, id: SessionId) {
+    pub fn session_ended(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let key = (session.opened, id);
         self.ages.remove(&key);
@@ -431,11 +438,11 @@
                 self.lost.remove(&(until, id));
             }
             State::Opening { to, .. } => {
-                self.trying -= 1;
+                self.attempting -= 1;
                 self.fleet.lost(&self.rules, to);
             }
             State::Moving { from, to, .. } => {
-                self.trying -= 1;
+                self.attempting -= 1;
                 self.fleet.lost(&self.rules, to);
                 if let Some(from) = from {
                     self.leave(from, key);
@@ -447,20 +454,20 @@
     // The router's own life.
 
     /// This router ends or is drained: nothing new is let in, and what is open is closed, evenly over a time.
-    pub fn go_away(&mut self, now: Millis) {
+    pub fn start_drain(&mut self, now: Millis) {
         let total = self.ages.len();
         self.away.get_or_insert(Away { from: now, total, closed: 0 });
     }
 
     /// The drain has ended.
-    pub fn come_back(&mut self) {
+    pub fn end_drain(&mut self) {
         self.away = None;
     }
 
     // Time.
 
     /// When [`Sessions::tick`] has something to do; none while only an event can change that.
-    pub fn wake(&self) -> Option<Millis> {
+    pub fn next_due(&self) -> Option<Millis> {
         let waits = self.asks.len() + self.at_draining + self.lost.len() > 0;
         let turn =
             self.fleet.next().filter(|_| waits && self.away.is_none()).map(|next| next.max(self.stalled));
@@ -478,19 +485,19 @@
     ) -> Vec<Action> {
         let mut actions = Vec::new();
         self.send_away(now, &mut actions);
-        while actions.len() < AT_ONCE
+        while actions.len() < MAX_ACTIONS_PER_TICK
             && let Some(id) = self.asks.expired(now)
         {
-            actions.push(self.turn(id, Turned::Busy, now));
+            actions.push(self.turn(id, Refusal::QueueTimeout, now));
         }
-        while actions.len() < AT_ONCE
+        while actions.len() < MAX_ACTIONS_PER_TICK
             && let Some((_, id)) = self.lost.first().copied().filter(|(until, _)| *until <= now)
         {
-            actions.push(self.close(id, Code::Away, now));
+            actions.push(self.close(id, CloseCause::ServerGone, now));
         }
         self.end_waits(now, &mut actions);
-        while actions.len() < AT_ONCE && now >= self.stalled && self.away.is_none() {
-            let offered: Vec<ServerId> = self.fleet.ready(now, OFFERED).collect();
+        while actions.len() < MAX_ACTIONS_PER_TICK && now >= self.stalled && self.away.is_none() {
+            let offered: Vec<ServerId> = self.fleet.ready(now, MAX_OFFERED_SERVERS).collect();
             if offered.is_empty() {
                 break;
             }
@@ -521,10 +528,10 @@
             if self.sessions.get(&id).is_some_and(|session| session.movable) {
                 return Some((id, false));
             }
-            if actions.len() >= AT_ONCE {
+            if actions.len() >= MAX_ACTIONS_PER_TICK {
                 return None;
             }
-            actions.push(self.close(id, Code::Restart, now));
+            actions.push(self.close(id, CloseCause::Restart, now));
         }
     }
 
@@ -532,7 +539,7 @@
     fn start(&mut self, id: SessionId, new: bool, to: ServerId, now: Millis) -> Action {
         self.moves_in_turn = if new { 0 } else { self.moves_in_turn.saturating_add(1) };
         self.fleet.spend(&self.rules, to, now);
-        self.trying += 1;
+        self.attempting += 1;
         let Some(session) = self.sessions.get(&id) else { return Action::Open { session: id, to } };
         let (tenant, opened) = (session.tenant, session.opened);
         match session.state {
@@ -562,11 +569,15 @@
     /// Waits at draining servers that have ended, and the newest of those that cannot have their turn in time: their
     /// clients hear at once, not at the end of a wait for nothing.
     fn end_waits(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        while actions.len() < AT_ONCE
+        while actions.len() < MAX_ACTIONS_PER_TICK
             && let Some((until, server)) = self.draining.first().copied().filter(|(until, _)| *until <= now)
         {
             let known = self.fleet.get(server);
-            let code = if known.is_some_and(|known| known.gone) { Code::Away } else { Code::Restart };
+            let code = if known.is_some_and(|known| known.gone) {
+                CloseCause::ServerGone
+            } else {
+                CloseCause::Restart
+            };
             match known.and_then(|known| known.open.first().copied()) {
                 Some((_, id)) => actions.push(self.close(id, code, now)),
                 None => {
@@ -580,29 +591,31 @@
         let rate = self.fleet.rate(&self.rules, now, now + left / 2);
         let part = f64::from(NEW_EACH - 1) / f64::from(NEW_EACH);
         let turns = (rate * part * left as f64 / 1_000.0).ceil() as usize;
-        let most = if rate > 0.0 { turns.min(self.rules.most_waiting) } else { self.rules.most_waiting };
-        while actions.len() < AT_ONCE && self.at_draining + self.lost.len() > most.max(1) {
+        let most =
+            if rate > 0.0 { turns.min(self.rules.max_waiting_moves) } else { self.rules.max_waiting_moves };
+        while actions.len() < MAX_ACTIONS_PER_TICK && self.at_draining + self.lost.len() > most.max(1) {
             let newest = self.fleet.get(server).and_then(|known| known.open.last().copied());
             let Some((_, id)) = newest else { break };
-            actions.push(self.close(id, Code::Restart, now));
+            actions.push(self.close(id, CloseCause::Restart, now));
         }
     }
 
     /// Closes that are due while this router sends its connections away.
     fn send_away(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        while actions.len() < AT_ONCE
+        while actions.len() < MAX_ACTIONS_PER_TICK
             && self.away.is_some()
             && let Some(id) = self.asks.next()
         {
-            actions.push(self.turn(id, Turned::Away, now));
+            actions.push(self.turn(id, Refusal::Draining, now));
         }
         let Some(away) = &self.away else { return };
-        let over = self.rules.away_over.max(1);
+        let over = self.rules.drain_duration.max(1);
         let passed = now.saturating_sub(away.from).min(over);
         let due = if passed == over { usize::MAX } else { away.total * passed as usize / over as usize };
-        while actions.len() < AT_ONCE && self.away.as_ref().is_some_and(|away| away.closed < due) {
+        while actions.len() < MAX_ACTIONS_PER_TICK && self.away.as_ref().is_some_and(|away| away.closed < due)
+        {
             let Some((_, id)) = self.ages.first().copied() else { break };
-            actions.push(self.close(id, Code::Restart, now));
+            actions.push(self.close(id, CloseCause::Restart, now));
             if let Some(away) = &mut self.away {
                 away.closed += 1;
             }
@@ -610,7 +623,7 @@
     }
 
     fn next_away(&self, away: &Away) -> Option<Millis> {
-        let over = self.rules.away_over.max(1);
+        let over = self.rules.drain_duration.max(1);
         let next = (over * (away.closed as u64 + 1)).div_ceil(away.total.max(1) as u64);
         (!self.ages.is_empty()).then(|| away.from + next.min(over))
     }
@@ -653,19 +666,19 @@
         }
     }
 
-    fn turn(&mut self, session: SessionId, why: Turned, now: Millis) -> Action {
-        self.ended(session);
-        Action::Turn { session, why, again: self.again(now) }
+    fn turn(&mut self, session: SessionId, reason: Refusal, now: Millis) -> Action {
+        self.session_ended(session);
+        Action::Refuse { session, reason, retry_after: self.retry_after(now) }
     }
 
-    fn close(&mut self, session: SessionId, code: Code, now: Millis) -> Action {
-        self.ended(session);
-        Action::Close { session, code, again: self.again(now) }
+    fn close(&mut self, session: SessionId, cause: CloseCause, now: Millis) -> Action {
+        self.session_ended(session);
+        Action::Close { session, cause, retry_after: self.retry_after(now) }
     }
 
     /// When a client may come again: spread over the time that those who wait need, and never all at once.
-    fn again(&mut self, now: Millis) -> Millis {
-        let wait = self.rules.longest_wait.max(1);
+    fn retry_after(&mut self, now: Millis) -> Millis {
+        let wait = self.rules.max_move_wait.max(1);
         let rate = self.fleet.rate(&self.rules, now, now);
         let line = (self.at_draining + self.lost.len() + self.asks.len()) as f64;
         let need = if rate > 0.0 { line / rate * 1_000.0 } else { f64::INFINITY };
--- a/sessions/src/pace.rs
+++ b/sessions/src/servers.rs
@@ -10,25 +10,25 @@
 
 /// How servers warm up.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Warmth {
+pub struct SlowStart {
     /// What a fresh one can do, of what a warm one can.
     pub cold_share: f64,
     /// It is warm after this time.
-    pub cold: Millis,
+    pub warm_up: Millis,
 }
 
 impl Rules {
     /// This router's part of what a server takes now, in connections a second.
     pub(crate) fn rate(&self, up_since: Option<Millis>, now: Millis) -> f64 {
-        let age = up_since.map(|up| now.saturating_sub(up)).filter(|age| *age < self.warmth.cold);
-        let cold = self.warmth.cold_share;
-        let warm = age.map_or(1.0, |age| cold + (1.0 - cold) * age as f64 / self.warmth.cold as f64);
+        let age = up_since.map(|up| now.saturating_sub(up)).filter(|age| *age < self.slow_start.warm_up);
+        let cold = self.slow_start.cold_share;
+        let warm = age.map_or(1.0, |age| cold + (1.0 - cold) * age as f64 / self.slow_start.warm_up as f64);
         self.each() * warm
     }
 
     /// The same of a warm one.
     fn each(&self) -> f64 {
-        self.warm_per_s / f64::from(self.routers.max(1))
+        self.warm_opens_per_s / f64::from(self.routers.max(1))
     }
 }
 
@@ -94,7 +94,7 @@
         }
         (server.up_since, server.drains, server.gone) = (up_since, None, false);
         self.taking += 1;
-        if let Some(up) = up_since.filter(|up| now.saturating_sub(*up) < rules.warmth.cold) {
+        if let Some(up) = up_since.filter(|up| now.saturating_sub(*up) < rules.slow_start.warm_up) {
             self.cold.insert((up, id));
             self.cold_sum += u128::from(up);
         }
@@ -126,7 +126,7 @@
     fn put_in(&mut self, rules: &Rules, id: ServerId) {
         if let Some(server) = self.servers.get(&id)
             && server.drains.is_none()
-            && server.held() < rules.most_at_server
+            && server.held() < rules.max_per_server
         {
             self.ready.insert((server.next, id));
         }
@@ -213,15 +213,16 @@
     /// What this router may open at all servers together, in connections a second, as it will be at `then`.
     pub(crate) fn rate(&mut self, rules: &Rules, now: Millis, then: Millis) -> f64 {
         while let Some((up, id)) = self.cold.first().copied() {
-            if now.saturating_sub(up) < rules.warmth.cold {
+            if now.saturating_sub(up) < rules.slow_start.warm_up {
                 break;
             }
             self.cold.remove(&(up, id));
             self.cold_sum -= u128::from(up);
         }
         let cold = self.cold.len() as f64;
-        let age = (cold * then as f64 - self.cold_sum as f64).max(0.0) / rules.warmth.cold.max(1) as f64;
-        let share = rules.warmth.cold_share;
+        let age =
+            (cold * then as f64 - self.cold_sum as f64).max(0.0) / rules.slow_start.warm_up.max(1) as f64;
+        let share = rules.slow_start.cold_share;
         let warming = (cold * share + (1.0 - share) * age).min(cold);
         rules.each() * (self.taking as f64 - cold + warming)
     }
--- a/sessions/tests/sessions.rs
+++ b/sessions/tests/sessions.rs
@@ -1,8 +1,8 @@
 //! What must hold for long-lived connections whatever happens, and a release with cold successors.
 
 use fawnstream_sessions::{
-    AT_ONCE, Action, Attempt, Code, Counts, Millis, Rules, ServerId, SessionId, Sessions, TenantId, Turned,
-    Warmth,
+    Action, AttemptOutcome, CloseCause, Counts, MAX_ACTIONS_PER_TICK, Millis, Refusal, Rules, ServerId,
+    SessionId, Sessions, SlowStart, TenantId,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -11,27 +11,27 @@
 fn rules(routers: u32) -> Rules {
     Rules {
         routers,
-        most: 400,
-        most_at_server: 300,
-        most_of_tenant: 300,
-        most_waiting: 200,
-        longest_wait: 4_000,
-        most_asking: 100,
-        longest_ask: 400,
-        tries: 2,
-        away_over: 1_500,
-        warm_per_s: 80.0,
-        warmth: Warmth { cold_share: 0.3, cold: 10_000 },
+        max_sessions: 400,
+        max_per_server: 300,
+        max_per_tenant: 300,
+        max_waiting_moves: 200,
+        max_move_wait: 4_000,
+        max_queued: 100,
+        max_queue_wait: 400,
+        max_attempts: 2,
+        drain_duration: 1_500,
+        warm_opens_per_s: 80.0,
+        slow_start: SlowStart { cold_share: 0.3, warm_up: 10_000 },
     }
 }
 
 /// Lets so many in, one every 200 ms, at the offered server that rested longest.
 fn fill(sessions: &mut Sessions, ids: std::ops::Range<u64>, mut now: Millis) -> Millis {
     for id in ids {
-        sessions.ask(SessionId(id), TenantId(id % 2), true, now).unwrap();
+        sessions.enqueue(SessionId(id), TenantId(id % 2), true, now).unwrap();
         for action in sessions.tick(now, |_, offered| offered.first().copied()) {
             let Action::Open { session, .. } = action else { panic!("{action:?}") };
-            assert_eq!(sessions.tried(session, Attempt::Taken, now), None);
+            assert_eq!(sessions.attempt_ended(session, AttemptOutcome::Opened, now), None);
         }
         now += 200;
     }
@@ -46,7 +46,7 @@
     List(u64, bool),
     Drain(u64, bool),
     Tick(usize),
-    Tried(usize, Attempt),
+    Tried(usize, AttemptOutcome),
     Broke(usize),
     Away,
     Back,
@@ -54,10 +54,10 @@
 
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
     let attempt = prop_oneof![
-        4 => Just(Attempt::Taken),
-        1 => Just(Attempt::Never),
-        1 => Just(Attempt::Maybe),
-        1 => Just(Attempt::NotNow)
+        4 => Just(AttemptOutcome::Opened),
+        1 => Just(AttemptOutcome::NotRun),
+        1 => Just(AttemptOutcome::MayHaveRun),
+        1 => Just(AttemptOutcome::Deferred)
     ];
     let step = prop_oneof![
         8 => (0..3u64).prop_map(Step::Ask),
@@ -94,14 +94,14 @@
     #[test]
     fn every_connection_ends_once_and_all_adds_up(steps in steps()) {
         let rules = Rules {
-            most: 30, most_at_server: 8, most_of_tenant: 12, most_waiting: 5, most_asking: 6, ..rules(2)
+            max_sessions: 30, max_per_server: 8, max_per_tenant: 12, max_waiting_moves: 5, max_queued: 6, ..rules(2)
         };
         let mut sessions = Sessions::new(rules, 7);
         let (mut now, mut next) = (20_000, 0u64);
         let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
         let mut drains: BTreeMap<u64, bool> = BTreeMap::new();
         for server in 0..3 {
-            sessions.listed(ServerId(server), None, now);
+            sessions.server_listed(ServerId(server), None, now);
             drains.insert(server, false);
         }
         let nth = |seen: &BTreeMap<u64, Seen>, place: usize| {
@@ -112,29 +112,29 @@
             let mut actions = Vec::new();
             match step {
                 Step::Ask(tenant) => {
-                    if sessions.ask(SessionId(next), TenantId(tenant), next % 2 == 0, now).is_ok() {
+                    if sessions.enqueue(SessionId(next), TenantId(tenant), next % 2 == 0, now).is_ok() {
                         seen.insert(next, Seen::default());
                     }
                     next += 1;
                 }
                 Step::End(place) => {
                     if let Some(id) = nth(&seen, place) {
-                        sessions.ended(SessionId(id));
-                        sessions.ended(SessionId(id));
+                        sessions.session_ended(SessionId(id));
+                        sessions.session_ended(SessionId(id));
                         seen.remove(&id);
                     }
                 }
                 Step::Bind(place, movable) => {
                     if let Some(id) = nth(&seen, place) {
-                        sessions.movable(SessionId(id), movable);
+                        sessions.set_movable(SessionId(id), movable);
                     }
                 }
                 Step::List(server, fresh) => {
-                    sessions.listed(ServerId(server), fresh.then_some(now), now);
+                    sessions.server_listed(ServerId(server), fresh.then_some(now), now);
                     drains.insert(server, false);
                 }
                 Step::Drain(server, gone) => {
-                    sessions.drains(ServerId(server), gone, now);
+                    sessions.server_draining(ServerId(server), gone, now);
                     drains.insert(server, true);
                 }
                 Step::Tick(place) => actions = sessions.tick(now, |_, offered| {
@@ -143,10 +143,10 @@
                 }),
                 Step::Tried(place, attempt) => {
                     if let Some(id) = nth(&seen, place) {
-                        actions.extend(sessions.tried(SessionId(id), attempt, now));
+                        actions.extend(sessions.attempt_ended(SessionId(id), attempt, now));
                         if let Some(known) = seen.get_mut(&id)
                             && let Some(to) = known.to.take()
-                            && attempt == Attempt::Taken
+                            && attempt == AttemptOutcome::Opened
                         {
                             known.at = Some(to);
                         }
@@ -154,19 +154,19 @@
                 }
                 Step::Broke(place) => {
                     if let Some(id) = nth(&seen, place).filter(|id| seen[id].at.is_some()) {
-                        actions.extend(sessions.broke(SessionId(id), now));
+                        actions.extend(sessions.upstream_broke(SessionId(id), now));
                         seen.get_mut(&id).unwrap().at = None;
                     }
                 }
-                Step::Away => sessions.go_away(now),
-                Step::Back => sessions.come_back(),
+                Step::Away => sessions.start_drain(now),
+                Step::Back => sessions.end_drain(),
             }
             for action in actions {
                 match action {
-                    Action::Close { session, again, .. } | Action::Turn { session, again, .. } => {
+                    Action::Close { session, retry_after, .. } | Action::Refuse { session, retry_after, .. } => {
                         let known = seen.remove(&session.0);
                         prop_assert!(known.is_some(), "ended twice, or never there");
-                        prop_assert!(again > 0);
+                        prop_assert!(retry_after > 0);
                     }
                     Action::Open { session, to } | Action::Move { session, to } => {
                         let known = seen.get_mut(&session.0).expect("one that is there");
@@ -178,36 +178,36 @@
                 }
             }
             let counts = sessions.counts();
-            let Counts { open, asking, waiting, trying } = counts;
-            prop_assert_eq!(open + asking + waiting + trying, seen.len());
-            prop_assert_eq!(trying, seen.values().filter(|known| known.to.is_some()).count());
-            prop_assert!(asking <= rules.most_asking + 1 && seen.len() <= rules.most, "{:?}", counts);
+            let Counts { open, queued, awaiting_move, attempting } = counts;
+            prop_assert_eq!(open + queued + awaiting_move + attempting, seen.len());
+            prop_assert_eq!(attempting, seen.values().filter(|known| known.to.is_some()).count());
+            prop_assert!(queued <= rules.max_queued + 1 && seen.len() <= rules.max_sessions, "{:?}", counts);
             for server in 0..6 {
                 let at = |known: &&Seen| known.at == Some(server) || known.to == Some(server);
                 let held = seen.values().filter(at).count();
-                prop_assert_eq!(sessions.held(ServerId(server)), held, "at {}", server);
-                prop_assert!(held <= rules.most_at_server);
+                prop_assert_eq!(sessions.connections_at(ServerId(server)), held, "at {}", server);
+                prop_assert!(held <= rules.max_per_server);
             }
         }
         // Whatever is out fails; then time alone ends every wait, and what is left is open.
         for (id, _) in seen.clone().iter().filter(|(_, known)| known.to.is_some()) {
-            if sessions.tried(SessionId(*id), Attempt::Never, now).is_some() {
+            if sessions.attempt_ended(SessionId(*id), AttemptOutcome::NotRun, now).is_some() {
                 seen.remove(id);
             }
         }
-        (0..6).for_each(|server| sessions.drains(ServerId(server), true, now));
+        (0..6).for_each(|server| sessions.server_draining(ServerId(server), true, now));
         for _ in 0..200 {
-            let Some(wake) = sessions.wake() else { break };
+            let Some(wake) = sessions.next_due() else { break };
             now = now.max(wake);
             for action in sessions.tick(now, |_, _| None) {
-                let (Action::Close { session, .. } | Action::Turn { session, .. }) = action else {
+                let (Action::Close { session, .. } | Action::Refuse { session, .. }) = action else {
                     panic!("{action:?} with no server")
                 };
                 prop_assert!(seen.remove(&session.0).is_some());
             }
         }
         prop_assert!(seen.is_empty() && sessions.counts() == Counts::default());
-        (0..6).for_each(|server| assert_eq!(sessions.held(ServerId(server)), 0));
+        (0..6).for_each(|server| assert_eq!(sessions.connections_at(ServerId(server)), 0));
     }
 }
 
@@ -219,23 +219,23 @@
     let mut all: Vec<Sessions> =
         (0..routers).map(|router| Sessions::new(rules(routers), u64::from(router))).collect();
     for sessions in &mut all {
-        (0..3).for_each(|server| sessions.listed(ServerId(server), None, 0));
+        (0..3).for_each(|server| sessions.server_listed(ServerId(server), None, 0));
         // New ones wait for turns of 600 ms where 48 routers share them.
         let mut now = 10_000;
         for id in 0..each {
             now = fill(sessions, id..id + 1, now + 400);
         }
         assert!(now <= start && sessions.counts().open == each as usize);
-        sessions.listed(ServerId(8), Some(start - 500), start - 500);
-        sessions.listed(ServerId(9), Some(start - 500), start - 500);
-        (0..3).for_each(|server| sessions.drains(ServerId(server), false, start));
+        sessions.server_listed(ServerId(8), Some(start - 500), start - 500);
+        sessions.server_listed(ServerId(9), Some(start - 500), start - 500);
+        (0..3).for_each(|server| sessions.server_draining(ServerId(server), false, start));
     }
     let (mut arrivals, mut closed): (BTreeMap<ServerId, Vec<Millis>>, _) = (BTreeMap::new(), 0);
     let mut now = start;
-    while all.iter().any(|sessions| sessions.counts().waiting > 0) {
+    while all.iter().any(|sessions| sessions.counts().awaiting_move > 0) {
         for sessions in &mut all {
-            while sessions.wake().is_some_and(|wake| wake <= now) {
-                let held = [8, 9].map(|server| sessions.held(ServerId(server)));
+            while sessions.next_due().is_some_and(|wake| wake <= now) {
+                let held = [8, 9].map(|server| sessions.connections_at(ServerId(server)));
                 let fewest = |_, offered: &[ServerId]| {
                     offered.iter().copied().min_by_key(|server| held[(server.0 - 8) as usize])
                 };
@@ -243,10 +243,10 @@
                     match action {
                         Action::Move { session, to } => {
                             arrivals.entry(to).or_default().push(now);
-                            assert_eq!(sessions.tried(session, Attempt::Taken, now), None);
+                            assert_eq!(sessions.attempt_ended(session, AttemptOutcome::Opened, now), None);
                         }
-                        Action::Close { code, .. } => {
-                            assert_eq!(code, Code::Restart);
+                        Action::Close { cause, .. } => {
+                            assert_eq!(cause, CloseCause::Restart);
                             closed += 1;
                         }
                         other => panic!("{other:?}"),
@@ -267,7 +267,7 @@
         let (arrivals, closed, took) = release(routers, each);
         let moved: usize = arrivals.values().map(Vec::len).sum();
         assert_eq!((moved + closed) as u64, u64::from(routers) * each);
-        assert!(moved > 0 && took <= rules(1).longest_wait + 20);
+        assert!(moved > 0 && took <= rules(1).max_move_wait + 20);
         for times in arrivals.values() {
             for (first, from) in times.iter().enumerate() {
                 for (last, to) in times.iter().enumerate().skip(first) {
@@ -288,11 +288,11 @@
 #[test]
 fn a_release_and_a_storm_leave_turns_for_others() {
     let mut sessions = Sessions::new(rules(1), 1);
-    (0..3).for_each(|server| sessions.listed(ServerId(server), None, 0));
+    (0..3).for_each(|server| sessions.server_listed(ServerId(server), None, 0));
     let now = fill(&mut sessions, 0..200, 1_000);
-    sessions.drains(ServerId(0), false, now);
-    (0..80).for_each(|id| sessions.ask(SessionId(1_000 + id), TenantId(5), true, now).unwrap());
-    (0..3).for_each(|id| sessions.ask(SessionId(2_000 + id), TenantId(6), true, now).unwrap());
+    sessions.server_draining(ServerId(0), false, now);
+    (0..80).for_each(|id| sessions.enqueue(SessionId(1_000 + id), TenantId(5), true, now).unwrap());
+    (0..3).for_each(|id| sessions.enqueue(SessionId(2_000 + id), TenantId(6), true, now).unwrap());
     let (mut order, mut moves) = (Vec::new(), 0);
     for at in now..now + 400 {
         for action in sessions.tick(at, |_, offered| offered.first().copied()) {
@@ -309,33 +309,38 @@
     assert!(moves >= 2 * order.len() && order.len() >= 12, "{moves} moves, {} new", order.len());
     // The rest of the storm hears at once when its wait ends.
     let turned = sessions.tick(now + 400, |_, _| None);
-    let busy = |action: &&Action| matches!(action, Action::Turn { why: Turned::Busy, .. });
+    let busy = |action: &&Action| matches!(action, Action::Refuse { reason: Refusal::QueueTimeout, .. });
     assert_eq!(turned.iter().filter(busy).count(), 83 - order.len());
 }
 
 #[test]
 fn caps_turn_away() {
-    let mut sessions = Sessions::new(Rules { most: 3, most_of_tenant: 2, most_asking: 2, ..rules(1) }, 1);
-    let mut ask = |id, tenant| sessions.ask(SessionId(id), TenantId(tenant), true, 0).map_err(|(why, _)| why);
-    assert_eq!((ask(1, 1), ask(2, 1), ask(3, 1)), (Ok(()), Ok(()), Err(Turned::Tenant)));
-    assert_eq!(ask(4, 2), Err(Turned::Router), "the line of those that ask is full");
-    sessions.listed(ServerId(1), None, 0);
+    let mut sessions =
+        Sessions::new(Rules { max_sessions: 3, max_per_tenant: 2, max_queued: 2, ..rules(1) }, 1);
+    let mut ask =
+        |id, tenant| sessions.enqueue(SessionId(id), TenantId(tenant), true, 0).map_err(|(why, _)| why);
+    assert_eq!((ask(1, 1), ask(2, 1), ask(3, 1)), (Ok(()), Ok(()), Err(Refusal::TenantLimit)));
+    assert_eq!(ask(4, 2), Err(Refusal::RouterLimit), "the line of those that ask is full");
+    sessions.server_listed(ServerId(1), None, 0);
     let opened = sessions.tick(0, |_, offered| offered.first().copied());
     assert_eq!(opened, [Action::Open { session: SessionId(1), to: ServerId(1) }]);
-    // Turned away and tried elsewhere while it may be; then it is told so. The server rests meanwhile.
-    assert_eq!(sessions.tried(SessionId(1), Attempt::Never, 1), None);
+    // Refusal away and tried elsewhere while it may be; then it is told so. The server rests meanwhile.
+    assert_eq!(sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, 1), None);
     assert_eq!(sessions.tick(150, |_, offered| offered.first().copied()), []);
-    sessions.listed(ServerId(2), None, 150);
+    sessions.server_listed(ServerId(2), None, 150);
     let again = sessions.tick(150, |_, offered| offered.first().copied());
     assert_eq!(again, [Action::Open { session: SessionId(1), to: ServerId(2) }]);
-    let turned = sessions.tried(SessionId(1), Attempt::Never, 151);
-    assert!(matches!(turned, Some(Action::Turn { session: SessionId(1), why: Turned::Full, .. })));
+    let turned = sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, 151);
+    assert!(matches!(
+        turned,
+        Some(Action::Refuse { session: SessionId(1), reason: Refusal::NoServerAccepted, .. })
+    ));
     // What may have run is not made again where it must not run twice.
-    sessions.ended(SessionId(2));
-    sessions.ask(SessionId(5), TenantId(1), false, 300).unwrap();
+    sessions.session_ended(SessionId(2));
+    sessions.enqueue(SessionId(5), TenantId(1), false, 300).unwrap();
     sessions.tick(400, |_, offered| offered.first().copied());
-    let failed = sessions.tried(SessionId(5), Attempt::Maybe, 401);
-    assert!(matches!(failed, Some(Action::Turn { why: Turned::Failed, .. })));
+    let failed = sessions.attempt_ended(SessionId(5), AttemptOutcome::MayHaveRun, 401);
+    assert!(matches!(failed, Some(Action::Refuse { reason: Refusal::UpgradeFailed, .. })));
     assert_eq!(sessions.counts(), Counts::default());
 }
 
@@ -344,65 +349,67 @@
 #[test]
 fn moves_end_in_one_outcome() {
     let mut sessions = Sessions::new(rules(1), 1);
-    sessions.listed(ServerId(1), None, 0);
+    sessions.server_listed(ServerId(1), None, 0);
     let now = fill(&mut sessions, 0..4, 1_000);
-    sessions.movable(SessionId(0), false);
-    sessions.movable(SessionId(2), false);
-    sessions.drains(ServerId(1), false, now);
-    assert_eq!((sessions.counts().waiting, sessions.tick(now, |_, _| None)), (4, vec![]));
-    sessions.listed(ServerId(2), None, now);
+    sessions.set_movable(SessionId(0), false);
+    sessions.set_movable(SessionId(2), false);
+    sessions.server_draining(ServerId(1), false, now);
+    assert_eq!((sessions.counts().awaiting_move, sessions.tick(now, |_, _| None)), (4, vec![]));
+    sessions.server_listed(ServerId(2), None, now);
     // It has been acknowledged meanwhile.
-    sessions.movable(SessionId(2), true);
-    assert_eq!(sessions.broke(SessionId(3), now), None);
+    sessions.set_movable(SessionId(2), true);
+    assert_eq!(sessions.upstream_broke(SessionId(3), now), None);
     let first = sessions.tick(now, |_, offered| offered.first().copied());
     assert_eq!(first, [Action::Move { session: SessionId(3), to: ServerId(2) }]);
-    assert_eq!(sessions.tried(SessionId(3), Attempt::Taken, now), None);
+    assert_eq!(sessions.attempt_ended(SessionId(3), AttemptOutcome::Opened, now), None);
     let next = sessions.tick(now + 50, |_, offered| offered.first().copied());
     assert!(matches!(
         next[..],
         [
-            Action::Close { session: SessionId(0), code: Code::Restart, .. },
+            Action::Close { session: SessionId(0), cause: CloseCause::Restart, .. },
             Action::Move { session: SessionId(1), .. }
         ]
     ));
-    assert_eq!(sessions.tried(SessionId(1), Attempt::Never, now + 60), None, "it waits on");
-    assert_eq!(sessions.held(ServerId(1)), 2);
+    assert_eq!(sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, now + 60), None, "it waits on");
+    assert_eq!(sessions.connections_at(ServerId(1)), 2);
     // The old server is gone before the next turn comes.
-    sessions.drains(ServerId(1), true, now + 70);
+    sessions.server_draining(ServerId(1), true, now + 70);
     let again = sessions.tick(now + 300, |_, offered| offered.first().copied());
     assert_eq!(again, [Action::Move { session: SessionId(1), to: ServerId(2) }]);
-    let tired = sessions.tried(SessionId(1), Attempt::Never, now + 310);
-    assert!(matches!(tired, Some(Action::Close { code: Code::TryLater, .. })));
+    let tired = sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, now + 310);
+    assert!(matches!(tired, Some(Action::Close { cause: CloseCause::TryLater, .. })));
     let late = sessions.tick(now + 4_000, |_, _| None);
-    assert!(matches!(late[..], [Action::Close { session: SessionId(2), code: Code::Away, .. }]));
-    assert_eq!((sessions.held(ServerId(1)), sessions.counts().open), (0, 1));
+    assert!(matches!(late[..], [Action::Close { session: SessionId(2), cause: CloseCause::ServerGone, .. }]));
+    assert_eq!((sessions.connections_at(ServerId(1)), sessions.counts().open), (0, 1));
 }
 
 /// A drained router closes its connections evenly, in parts that one event can take, and their clients do not come
 /// back together.
 #[test]
 fn a_router_that_goes_sends_all_away_evenly() {
-    let many = Rules { most: 5_000, most_of_tenant: 5_000, most_at_server: 5_000, ..rules(1) };
+    let many = Rules { max_sessions: 5_000, max_per_tenant: 5_000, max_per_server: 5_000, ..rules(1) };
     let mut sessions = Sessions::new(many, 3);
-    sessions.listed(ServerId(1), None, 0);
+    sessions.server_listed(ServerId(1), None, 0);
     let start = fill(&mut sessions, 0..1_000, 1_000);
-    sessions.go_away(start);
-    let refused = sessions.ask(SessionId(9_999), TenantId(1), true, start);
-    assert!(matches!(refused, Err((Turned::Away, _))));
+    sessions.start_drain(start);
+    let refused = sessions.enqueue(SessionId(9_999), TenantId(1), true, start);
+    assert!(matches!(refused, Err((Refusal::Draining, _))));
     let (mut now, mut closed, mut halves) = (start, 0, [0; 2]);
-    while let Some(wake) = sessions.wake() {
+    while let Some(wake) = sessions.next_due() {
         now = now.max(wake);
         let actions = sessions.tick(now, |_, _| None);
-        assert!(actions.len() <= AT_ONCE);
+        assert!(actions.len() <= MAX_ACTIONS_PER_TICK);
         for action in actions {
-            let Action::Close { again, code: Code::Restart, .. } = action else { panic!("{action:?}") };
-            halves[usize::from(again > 2_000)] += 1;
+            let Action::Close { retry_after, cause: CloseCause::Restart, .. } = action else {
+                panic!("{action:?}")
+            };
+            halves[usize::from(retry_after > 2_000)] += 1;
             closed += 1;
         }
         assert!(closed <= 1 + 1_000 * (now - start) as usize / 1_500, "{closed} at {now}");
     }
     assert_eq!((closed, now - start), (1_000, 1_500));
     assert!(halves.iter().all(|half| *half > 300), "{halves:?}");
-    sessions.come_back();
-    assert_eq!(sessions.ask(SessionId(9_999), TenantId(1), true, now), Ok(()));
+    sessions.end_drain();
+    assert_eq!(sessions.enqueue(SessionId(9_999), TenantId(1), true, now), Ok(()));
 }
