--- a/leases/src/action.rs
+++ b/leases/src/action.rs
@@ -1,131 +1,136 @@
-//! The messages between the owner of leases and its caller.
+//! The inputs and outputs of [`Leases`](crate::Leases): what its caller reports, and what it asks the caller
+//! to do.
 
 use std::time::Duration;
 
 /// Whether an attempt may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Now.
+    /// It may start now.
     Now {
-        /// If its last byte is not written by then it must end, and what is held be released.
+        /// If the last byte of the attempt is not written by then, the attempt must end and the state be
+        /// released.
         write_by: Option<Duration>,
     },
-    /// Only after the request's [`Action::ReleasesEnded`]: a release is under way, and would take this attempt's state
-    /// away.
+    /// It may start only after the request's [`Action::ReleasesEnded`]: a release in flight would remove the
+    /// state that this attempt needs.
     AfterRelease,
 }
 
-/// What the end of an attempt proves.
+/// How an attempt ended, as far as its router can prove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Its last byte was not written: no server had it.
+    /// The last byte was not written, so no server has received it.
     NotSent,
-    /// Something came back for it: a rejection, an error, the beginning of an answer. Whatever the server did with it, it
-    /// waits no longer.
+    /// The server replied: a rejection, an error, or the beginning of an answer. Whatever the server did with
+    /// the attempt, it no longer waits for the state.
     Answered,
-    /// The server answered that it found no state. That is not the reader's word: it may be cut off from the reader.
+    /// The server answered that it found no state. The reader did not say so: the server may be cut off from
+    /// the reader.
     StateNotFound,
-    /// The server closed its connection in order and said nothing. It may never have read the call.
+    /// The server closed the connection cleanly without an answer. It may never have read the call.
     Closed,
-    /// Nothing came back: it was given up, or its connection was reset, by the server or on the way. The server may have it, and may not have noticed its
-    /// end.
+    /// No reply: the router gave the attempt up, or the connection was reset by the server or on the way. The
+    /// server may have received the call, and may not have noticed that it ended.
     Unanswered,
 }
 
-/// How a release ended.
+/// How a release call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// The server answered. What that proves is for [`Leases`](crate::Leases) to say.
+    /// The server answered; [`Leases`](crate::Leases) judges what that proves.
     Answered,
-    /// It did not.
+    /// The server did not answer.
     Failed,
-    /// It was never asked: there was no connection for that.
+    /// The call was not sent: there was no connection for it.
     Unsent,
 }
 
-/// Why something is held past the limit.
+/// Why a state is held past the time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateReason {
     /// No server that was asked has answered.
     Unanswered,
-    /// None could be asked for want of connections.
+    /// No server could be asked, because there was no connection for the call.
     NoConnection,
     /// No server is listed.
     NoServer,
 }
 
-/// What is to be done.
+/// What the caller has to do or to report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action<L> {
-    /// Ask this server to release all that is held for the request.
+    /// Ask this server to release every state that is held for the request.
     SendRelease {
         /// The request.
         request: u64,
-        /// Its name.
+        /// The request's name.
         label: L,
-        /// The server.
+        /// The server to ask.
         server: u64,
     },
-    /// What is held is being released while an attempt is out that may never have arrived: the attempt goes on, and if it
-    /// does arrive it may find nothing.
+    /// The state is being released while an attempt is in flight that may never have arrived. The attempt
+    /// goes on; if it does arrive it may find no state.
     ReleasedUnderAttempt {
         /// The request.
         request: u64,
-        /// Where it is held.
+        /// The reader that holds the state.
         reader: u64,
-        /// For how long by now.
+        /// How long the state has been held so far.
         held: Duration,
     },
-    /// Releases of the request that are still under way end, and an attempt that waits may start.
+    /// Stop the request's release calls that are still in flight; an attempt that waits for them may start.
     ReleasesEnded {
         /// The request.
         request: u64,
-        /// As with [`Permission::Now`].
+        /// As in [`Permission::Now`].
         write_by: Option<Duration>,
     },
-    /// Something was held past the limit.
+    /// A state was held past the time limit.
     ReleaseLate {
         /// The request's name.
         label: L,
-        /// Where it is held.
+        /// The reader that holds the state.
         reader: u64,
-        /// For how long by now.
+        /// How long the state has been held so far.
         held: Duration,
-        /// Why.
+        /// Why it has not been released.
         reason: LateReason,
     },
-    /// No server released it; none is asked any more.
+    /// No server has released the state, and no further server is asked.
     LeaseAbandoned {
         /// The request's name.
         label: L,
-        /// Where it is held.
+        /// The reader that holds the state.
         reader: u64,
     },
 }
 
-/// What the answer of a release proves.
+/// What the answer to a release proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseProof {
-    /// All that was held is gone.
+    /// No state is held any more.
     Conclusive,
-    /// An attempt is out that may have waited for it.
+    /// An attempt is in flight that may have been waiting for the state, so the release may have left it in
+    /// place.
     UnderAttempt,
-    /// An attempt may have waited for it whose server had not noticed its end, or a server concerned is in doubt.
+    /// The server of an ended attempt may not have noticed the end, so that the attempt was still waiting for
+    /// the state; or a server concerned may be unreachable.
     Unconfirmed,
 }
 
-/// What a release was made for.
+/// Why a release was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseKind {
-    /// Nobody wants the state any more.
+    /// The state is no longer needed.
     Needed,
-    /// One that was answered before may have been made in vain.
+    /// An earlier release was answered, but may have had no effect.
     Repeated,
-    /// An attempt is out that nobody has answered.
+    /// An attempt is in flight that no server has answered.
     UnderAttempt,
 }
 
-/// Releases that were answered, by kind.
+/// Numbers of answered releases, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReleaseCounts {
     /// See [`ReleaseKind::Needed`].
@@ -134,7 +139,7 @@
     pub repeated: u64,
     /// See [`ReleaseKind::UnderAttempt`].
     pub under_attempt: u64,
-    /// Attempts under which a state was released, and which had waited for it all the same.
+    /// Attempts that were waiting for a state after all while it was released.
     pub in_vain: u64,
 }
 
--- a/leases/src/config.rs
+++ b/leases/src/config.rs
@@ -1,55 +1,62 @@
-//! What the settings and the protocol say of leases, and the times that follow from it.
+//! Settings and protocol limits for leases, and the intervals that follow from them.
 
 use std::time::Duration;
 
-/// A round of releases has this part of the settings' limit; the next one asks twice as many servers.
-const ROUND_PART: u32 = 5;
-/// So many rounds fit between the time at which a release begins and the rule's: one server of seven answers.
-pub(crate) const ROUNDS: u32 = 3;
+/// The interval between two rounds of releases is `release_within` divided by this. Each round asks twice as
+/// many servers as the one before.
+const ROUND_DIVISOR: u32 = 5;
+/// Rounds that fit between the start of a release and the time limit. They ask 1 + 2 + 4 = 7 servers, so a
+/// release succeeds in time if one server of seven answers.
+pub(crate) const ROUNDS_WITHIN_LIMIT: u32 = 3;
 
-/// What the settings and the protocol say.
+/// Settings and protocol limits for leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
-    /// What is held with no attempt out is taken or released in this time ...
+    /// A state that no attempt is waiting for is fetched or released within this time.
     pub release_within: Duration,
-    /// ... or so much more, on sockets; releases have this time.
+    /// Time allowed on top of `release_within` for the release calls over the network.
     pub grace: Duration,
-    /// The close of a connection has arrived at its server after this time, where nothing is cut off.
+    /// Time after which the close of a connection has arrived at its server, unless the two are cut off from
+    /// each other.
     pub close_arrives_within: Duration,
-    /// Releases under way at once.
+    /// Maximum number of release calls in flight.
     pub max_concurrent_releases: usize,
-    /// The only source of chance: routers that draw alike would all ask the same servers.
+    /// Seed of the only source of randomness. It differs between routers, which would otherwise all ask the
+    /// same servers.
     pub seed: u64,
 }
 
 impl LeaseConfig {
-    /// A release that got no answer in this time has failed: servers answer at once.
+    /// A release call without an answer in this time has failed: servers answer releases at once.
     pub fn release_timeout(&self) -> Duration {
-        self.round() * 3 / 2
+        self.round_interval() * 3 / 2
     }
 
-    /// What is held with no attempt out is released in this time, or late.
+    /// Time within which a state that no attempt waits for must be released; after that it counts as late.
     pub fn release_time_limit(&self) -> Duration {
         self.release_within + self.grace
     }
 
-    pub(crate) fn round(&self) -> Duration {
-        self.release_within / ROUND_PART
+    pub(crate) fn round_interval(&self) -> Duration {
+        self.release_within / ROUND_DIVISOR
     }
 
-    /// For how long a state may stand, as far as is known here, with nobody waiting for it; then its release begins.
+    /// How long a state may be held, as far as is known here, without an attempt waiting for it; then its
+    /// release begins.
     pub(crate) fn unattended_limit(&self) -> Duration {
-        let rounds = self.round() * ROUNDS;
+        let rounds = self.round_interval() * ROUNDS_WITHIN_LIMIT;
         self.release_within.min((self.release_within + self.grace).saturating_sub(rounds))
     }
 
-    /// A server has noticed the end of an attempt after this time, or is in doubt by then.
+    /// Time after which a server has either noticed the end of an attempt or is considered possibly
+    /// unreachable.
     pub(crate) fn end_noticed_within(&self) -> Duration {
         self.unattended_limit() * 3 / 4
     }
 
-    /// A release that may have been made in vain, with no attempt out, is repeated after this time: by then the end of an
-    /// attempt has been noticed, and rounds of releases have more time left than where a state may still be wanted.
+    /// Delay before a release that may have had no effect is repeated while no attempt is in flight. By then
+    /// the end of an attempt has been noticed, and rounds of releases have more time left than after
+    /// [`Self::unattended_limit`], which applies while the state may still be needed.
     pub(crate) fn repeat_delay(&self) -> Duration {
         self.end_noticed_within()
     }
--- a/leases/src/timetable.rs
+++ b/leases/src/queues.rs
@@ -1,22 +1,22 @@
-//! When leases are looked at next, and which of them wait for a call.
+//! When each lease is due next, and the queue of leases that wait for a release call.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Each lease stands here once for its due time, and once while it is queued.
+/// Each lease has at most one entry in `due`, and one in `queue` while it waits for a call.
 #[derive(Debug, Default)]
-pub(crate) struct Timetable {
+pub(crate) struct LeaseQueues {
     due: BTreeSet<(Duration, u64)>,
-    /// Those that have been unattended longest come first.
+    /// Ordered by how long the state has been unattended, longest first.
     queue: BTreeSet<(Duration, u64)>,
 }
 
-impl Timetable {
+impl LeaseQueues {
     pub fn next_due(&self) -> Option<Duration> {
         self.due.first().map(|(due, _)| *due)
     }
 
-    /// The first lease that is due by now.
+    /// The lease with the earliest due time, if that is not after `now`.
     pub fn first_due(&self, now: Duration) -> Option<u64> {
         self.due.first().filter(|(due, _)| *due <= now).map(|(_, request)| *request)
     }
--- a/leases/src/release_calls.rs
+++ b/leases/src/release_calls.rs
@@ -1,95 +1,96 @@
-//! Releases that are under way: how many at once, and at which servers.
+//! The release calls in flight: how many in all and per server, and which servers to ask next.
 
 use crate::action::LateReason;
-use crate::config::ROUNDS;
-use crate::lease::{Call, DOUBTED, Lease};
+use crate::config::ROUNDS_WITHIN_LIMIT;
+use crate::lease::{DOUBT_THRESHOLD, Lease, ReleaseCall};
 use fawnstream_fleet::chance::mix;
 use fawnstream_fleet::reach::Reach;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Servers asked in one round at most; past the limit it is one.
-const MOST_A_ROUND: usize = 4;
-/// The same where a release has been answered since the last attempt ended.
-const MOST_A_ROUND_AGAIN: usize = 2;
-/// Servers drawn for one call at most, until one has room for it.
-const MOST_DRAWN: usize = 16;
-/// Releases under way at one server at most: more requests that are held there are passed on by others.
-const MOST_AT_ONE: usize = 4;
-/// Rounds do not double beyond this.
-const MOST_DOUBLINGS: u32 = 8;
+/// Maximum number of servers asked in one round; once the state is held past the limit it is one.
+const MAX_SERVERS_PER_ROUND: usize = 4;
+/// Maximum number of servers asked in one round if a release was answered since the last attempt ended.
+const MAX_SERVERS_PER_REPEAT_ROUND: usize = 2;
+/// Maximum number of random picks for one call until a server with room for it is found.
+const MAX_PICKS_PER_CALL: usize = 16;
+/// Maximum number of release calls in flight at one server. Releases of further requests whose states are
+/// held there go through other servers, which pass them on.
+const MAX_CALLS_PER_SERVER: usize = 4;
+/// Number of rounds after which the number of servers asked no longer doubles.
+const MAX_DOUBLINGS: u32 = 8;
 
-/// All releases under way.
+/// All release calls in flight.
 #[derive(Debug)]
 pub(crate) struct ReleaseCalls {
-    most: usize,
+    max_in_flight: usize,
     seed: u64,
-    under_way: usize,
-    at_server: HashMap<u64, usize>,
+    in_flight: usize,
+    per_server: HashMap<u64, usize>,
 }
 
 impl ReleaseCalls {
-    pub fn new(most: usize, seed: u64) -> Self {
-        ReleaseCalls { most, seed, under_way: 0, at_server: HashMap::new() }
+    pub fn new(max_in_flight: usize, seed: u64) -> Self {
+        ReleaseCalls { max_in_flight, seed, in_flight: 0, per_server: HashMap::new() }
     }
 
     pub fn has_room(&self) -> bool {
-        self.under_way < self.most
+        self.in_flight < self.max_in_flight
     }
 
-    /// A release at this server has ended.
-    pub fn ended(&mut self, server: u64) {
-        self.under_way -= 1;
-        if let Some(count) = self.at_server.get_mut(&server) {
+    /// A release call at this server has ended.
+    pub fn call_ended(&mut self, server: u64) {
+        self.in_flight -= 1;
+        if let Some(count) = self.per_server.get_mut(&server) {
             *count -= 1;
             if *count == 0 {
-                self.at_server.remove(&server);
+                self.per_server.remove(&server);
             }
         }
     }
 
-    /// Whom to ask in a lease's next round: the calls are noted here and there.
-    pub fn choose_round<L>(
+    /// Chooses the servers to ask in the next round of a lease, and records the calls here and in the lease.
+    pub fn choose_servers<L>(
         &mut self,
         request: u64,
         lease: &mut Lease<L>,
         now: Duration,
         reach: &Reach,
     ) -> Vec<u64> {
-        lease.note_heard(reach);
+        lease.record_heard(reach);
         let round = lease.round;
         let wanted = match (lease.late_reported, lease.was_released_since_end()) {
             (true, _) => 1,
-            // It is made again in case: what nobody has released yet needs the connections more.
-            (false, true) => (1 << round.min(MOST_DOUBLINGS)).min(MOST_A_ROUND_AGAIN),
-            (false, false) => (1 << round.min(MOST_DOUBLINGS)).min(MOST_A_ROUND),
+            // This is only a precaution: states that no server has released yet need the connections more.
+            (false, true) => (1 << round.min(MAX_DOUBLINGS)).min(MAX_SERVERS_PER_REPEAT_ROUND),
+            (false, false) => (1 << round.min(MAX_DOUBLINGS)).min(MAX_SERVERS_PER_ROUND),
         };
         lease.round += 1;
         let mut chosen = Vec::new();
         while chosen.len() < wanted && self.has_room() {
             let first = chosen.is_empty();
-            let Some(server) = self.choose(request, lease, round, first, now, reach) else {
+            let Some(server) = self.choose_server(request, lease, round, first, now, reach) else {
                 if lease.asked.is_empty() && lease.calls.is_empty() {
                     lease.late_reason = LateReason::NoServer;
                 }
-                // All have been asked: from the beginning, in the next round.
+                // All servers have been asked; the next round starts over.
                 if first {
                     lease.asked.clear();
                 }
                 break;
             };
             lease.asked.push(server);
-            lease.calls.push(Call { server, sent_at: now, crossed_end: false });
-            *self.at_server.entry(server).or_default() += 1;
-            self.under_way += 1;
+            lease.calls.push(ReleaseCall { server, sent_at: now, attempt_ended_since: false });
+            *self.per_server.entry(server).or_default() += 1;
+            self.in_flight += 1;
             chosen.push(server);
         }
         chosen
     }
 
-    /// A server that is not known to have run since an attempt there ended, or the reader, if they are believed in reach; else
-    /// another server that has not been asked in this release.
-    fn choose<L>(
+    /// Chooses a server that is not known to have run since an attempt there ended, or the reader, if they
+    /// seem reachable; otherwise another server that has not been asked in this release.
+    fn choose_server<L>(
         &self,
         request: u64,
         lease: &Lease<L>,
@@ -101,20 +102,25 @@
         let mut excluded = lease.asked.clone();
         excluded.extend(lease.calls.iter().map(|call| call.server));
         let reader = Some(lease.reader).filter(|reader| !excluded.contains(reader));
-        let is_open = |server: &u64| {
-            !excluded.contains(server) && !self.is_busy(*server) && reach.doubt(*server, now) <= DOUBTED
+        let is_candidate = |server: &u64| {
+            !excluded.contains(server)
+                && !self.is_busy(*server)
+                && reach.doubt(*server, now) <= DOUBT_THRESHOLD
         };
-        if let Some(first) = lease.not_known_to_run().into_iter().chain([lease.reader]).find(is_open) {
+        if let Some(first) =
+            lease.server_not_known_to_run().into_iter().chain([lease.reader]).find(is_candidate)
+        {
             return Some(first);
         }
-        // The last round in time begins with who is known to answer: calls that nobody answers may have left few.
-        if first && round + 1 >= ROUNDS {
-            let known = reach.answered_last(&excluded).filter(|known| !self.is_busy(*known));
-            if known.is_some() {
-                return known;
+        // The last round within the time limit starts with the server that answered most recently, since
+        // unanswered calls may have left little room for more.
+        if first && round + 1 >= ROUNDS_WITHIN_LIMIT {
+            let responsive = reach.answered_last(&excluded).filter(|server| !self.is_busy(*server));
+            if responsive.is_some() {
+                return responsive;
             }
         }
-        for _ in 0..MOST_DRAWN {
+        for _ in 0..MAX_PICKS_PER_CALL {
             let draw = mix(self.seed ^ request ^ mix(u64::from(round) ^ ((excluded.len() as u64) << 32)));
             let Some(picked) = reach.pick(draw, now, &excluded) else { break };
             if !self.is_busy(picked) {
@@ -126,6 +132,6 @@
     }
 
     fn is_busy(&self, server: u64) -> bool {
-        self.at_server.get(&server).is_some_and(|calls| *calls >= MOST_AT_ONE)
+        self.per_server.get(&server).is_some_and(|calls| *calls >= MAX_CALLS_PER_SERVER)
     }
 }
