--- a/leases/benches/leases.rs
+++ b/leases/benches/leases.rs
@@ -1,4 +1,5 @@
-//! What an event costs at size: `cargo bench -p fawnstream-leases`. 1,000 servers in three zones, 10,000 requests held.
+//! Cost of single events with 1,000 servers in three zones and 10,000 held states:
+//! `cargo bench -p fawnstream-leases`.
 
 use fawnstream_fleet::reach::Reach;
 use fawnstream_leases::{Action, AttemptEnd, LeaseConfig, Leases, ReleaseOutcome};
@@ -16,8 +17,8 @@
     seed: 1,
 };
 
-/// Each request's state is held, so late that none falls due.
-fn full(servers: u64, held: u64) -> (Leases<u64>, Reach) {
+/// `held` requests with a held state each, read at such a late time that none falls due.
+fn filled_leases(servers: u64, held: u64) -> (Leases<u64>, Reach) {
     let (mut leases, mut reach) = (Leases::new(CONFIG), Reach::default());
     (0..servers).for_each(|server| reach.join(server, server as usize % 3));
     (0..held).for_each(|request| {
@@ -26,10 +27,10 @@
     (leases, reach)
 }
 
-/// A read ends, its writer's attempt starts, and the answer begins.
+/// A read succeeds, the writer's attempt starts, and the answer begins.
 #[divan::bench(args = [(60, 600), (1_000, 10_000)])]
-fn read_and_taken(bencher: divan::Bencher, (servers, held): (u64, u64)) {
-    let ((mut leases, reach), mut request) = (full(servers, held), held);
+fn read_and_answer(bencher: divan::Bencher, (servers, held): (u64, u64)) {
+    let ((mut leases, reach), mut request) = (filled_leases(servers, held), held);
     let now = Duration::from_secs(1);
     bencher.bench_local(move || {
         request += 1;
@@ -40,10 +41,11 @@
     });
 }
 
-/// A read is lost; its reader is in doubt, another server is asked and answers, and once more later.
+/// A read is lost and its reader may be unreachable; another server is asked and answers, and the release is
+/// repeated later.
 #[divan::bench(args = [(60, 600), (1_000, 10_000)])]
-fn lost_and_released(bencher: divan::Bencher, (servers, held): (u64, u64)) {
-    let ((mut leases, mut reach), mut request) = (full(servers, held), held);
+fn lost_read_and_release(bencher: divan::Bencher, (servers, held): (u64, u64)) {
+    let ((mut leases, mut reach), mut request) = (filled_leases(servers, held), held);
     let mut now = Duration::from_secs(1);
     bencher.bench_local(move || {
         request += 1;
--- a/leases/tests/common/mod.rs
+++ b/leases/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of leases share.
+//! Helpers shared by the lease tests.
 
 use fawnstream_leases::LeaseConfig;
 use std::time::Duration;
@@ -12,7 +12,6 @@
     seed: 1,
 };
 
-/// So many milliseconds.
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
