--- a/sessions/benches/size.rs
+++ b/sessions/benches/size.rs
@@ -1,4 +1,5 @@
-//! What an event costs at size: `cargo bench -p fawnstream-sessions`. 1,000 servers and 10,000 or 100,000 connections.
+//! Cost of single events with 1,000 servers and 10,000 or 100,000 connections:
+//! `cargo bench -p fawnstream-sessions`.
 
 use fawnstream_sessions::{
     Action, AttemptOutcome, MAX_ACTIONS_PER_TICK, Rules, ServerId, SessionId, Sessions, SlowStart, TenantId,
@@ -27,25 +28,25 @@
     }
 }
 
-/// So many connections at 1,000 servers.
-fn full(connections: u64) -> Sessions {
+/// Opens this many connections at 1,000 servers.
+fn filled_sessions(connections: u64) -> Sessions {
     let mut sessions = Sessions::new(rules(), 1);
     (0..SERVERS).for_each(|server| sessions.server_listed(ServerId(server), None, 0));
     for id in 0..connections {
         let now = id;
         sessions.enqueue(SessionId(id), TenantId(id % 8), true, now).unwrap();
         for action in sessions.tick(now, |_, offered| offered.first().copied()) {
-            let Action::Open { session, .. } = action else { panic!("turned away") };
+            let Action::Open { session, .. } = action else { panic!("new connection refused") };
             sessions.attempt_ended(session, AttemptOutcome::Opened, now);
         }
     }
     sessions
 }
 
-/// One connection comes and goes.
+/// One connection opens and ends.
 #[divan::bench(args = [10_000, 100_000])]
 fn open_and_end(bencher: divan::Bencher, connections: u64) {
-    let (mut sessions, mut id) = (full(connections), connections);
+    let (mut sessions, mut id) = (filled_sessions(connections), connections);
     bencher.bench_local(move || {
         id += 1;
         sessions.enqueue(SessionId(id), TenantId(id % 8), true, id).unwrap();
@@ -56,22 +57,22 @@
     });
 }
 
-/// A server is told to drain, and is listed again.
+/// A server drains and is listed again.
 #[divan::bench(args = [10_000, 100_000])]
 fn drain_and_list(bencher: divan::Bencher, connections: u64) {
-    let mut sessions = full(connections);
+    let mut sessions = filled_sessions(connections);
     bencher.bench_local(move || {
         sessions.server_draining(ServerId(7), false, 1_000_000);
         sessions.server_listed(ServerId(7), None, 1_000_000);
     });
 }
 
-/// One tick of a release that drains half of the servers: the most that one event costs.
+/// One tick during a rollout that drains half of the servers: the most expensive event.
 #[divan::bench(args = [10_000, 100_000])]
-fn tick_in_release(bencher: divan::Bencher, connections: u64) {
+fn tick_during_rollout(bencher: divan::Bencher, connections: u64) {
     bencher
         .with_inputs(|| {
-            let mut sessions = full(connections);
+            let mut sessions = filled_sessions(connections);
             (0..SERVERS / 2).for_each(|server| sessions.server_draining(ServerId(server), false, 1_000_000));
             sessions
         })
--- a/sessions/src/fair_queue.rs
+++ b/sessions/src/fair_queue.rs
@@ -1,71 +1,75 @@
-//! New connections that wait for a server's turn: customers in turn, within a customer the longest waiting first.
-//! One customer's storm costs the others a turn each, not the line.
+//! Queue of new connections that wait for a server's turn: round robin over the tenants, and in order of
+//! arrival within a tenant. A burst of one tenant costs each other tenant one turn, not a wait behind the
+//! whole burst.
 
 use crate::{Millis, SessionId, TenantId};
 use std::collections::{BTreeSet, HashMap};
 
-/// A customer's line.
-struct Line {
-    /// Its place among the customers' turns.
+/// The queue of one tenant.
+struct TenantQueue {
+    /// Its position in the round robin.
     turn: u64,
-    /// Who waits, by when the wait ends: in the order of their coming, also where one was turned away and waits again.
+    /// The queued connections by the time at which their wait ends. This keeps the order of arrival, also for
+    /// a connection that is queued again after a failed attempt.
     waiting: BTreeSet<(Millis, SessionId)>,
 }
 
 #[derive(Default)]
-pub(crate) struct Asks {
-    of: HashMap<TenantId, Line>,
-    /// Customers with somebody in line, by their turns.
-    order: BTreeSet<(u64, TenantId)>,
-    turns: u64,
-    /// All in line, by when their wait ends.
-    ends: BTreeSet<(Millis, SessionId)>,
+pub(crate) struct FairQueue {
+    tenants: HashMap<TenantId, TenantQueue>,
+    /// Tenants with queued connections, by their turns.
+    turn_order: BTreeSet<(u64, TenantId)>,
+    last_turn: u64,
+    /// All queued connections, by the time at which their wait ends.
+    by_expiry: BTreeSet<(Millis, SessionId)>,
 }
 
-impl Asks {
+impl FairQueue {
     pub(crate) fn len(&self) -> usize {
-        self.ends.len()
+        self.by_expiry.len()
     }
 
     /// When the first wait ends.
-    pub(crate) fn first(&self) -> Option<Millis> {
-        self.ends.first().map(|(until, _)| *until)
+    pub(crate) fn next_expiry(&self) -> Option<Millis> {
+        self.by_expiry.first().map(|(wait_until, _)| *wait_until)
     }
 
-    /// One whose wait has ended.
+    /// A connection whose wait has ended.
     pub(crate) fn expired(&self, now: Millis) -> Option<SessionId> {
-        self.ends.first().filter(|(until, _)| *until <= now).map(|(_, id)| *id)
+        self.by_expiry.first().filter(|(wait_until, _)| *wait_until <= now).map(|(_, id)| *id)
     }
 
-    pub(crate) fn push(&mut self, tenant: TenantId, id: SessionId, until: Millis) {
-        self.turns += 1;
-        let turn = self.turns;
-        let line = self.of.entry(tenant).or_insert_with(|| Line { turn, waiting: BTreeSet::new() });
-        self.order.insert((line.turn, tenant));
-        line.waiting.insert((until, id));
-        self.ends.insert((until, id));
+    pub(crate) fn push(&mut self, tenant: TenantId, id: SessionId, wait_until: Millis) {
+        self.last_turn += 1;
+        let turn = self.last_turn;
+        let queue =
+            self.tenants.entry(tenant).or_insert_with(|| TenantQueue { turn, waiting: BTreeSet::new() });
+        self.turn_order.insert((queue.turn, tenant));
+        queue.waiting.insert((wait_until, id));
+        self.by_expiry.insert((wait_until, id));
     }
 
-    /// Whose turn it is.
+    /// The connection whose turn is next.
     pub(crate) fn next(&self) -> Option<SessionId> {
-        let (_, tenant) = self.order.first()?;
-        self.of.get(tenant)?.waiting.first().map(|(_, id)| *id)
+        let (_, tenant) = self.turn_order.first()?;
+        self.tenants.get(tenant)?.waiting.first().map(|(_, id)| *id)
     }
 
-    /// One has had its turn, or left: its customer's next one comes after the other customers'.
-    pub(crate) fn remove(&mut self, tenant: TenantId, id: SessionId, until: Millis) {
-        if !self.ends.remove(&(until, id)) {
+    /// Removes a connection that has had its turn or left. Its tenant's next turn comes after those of the
+    /// other tenants.
+    pub(crate) fn remove(&mut self, tenant: TenantId, id: SessionId, wait_until: Millis) {
+        if !self.by_expiry.remove(&(wait_until, id)) {
             return;
         }
-        let Some(line) = self.of.get_mut(&tenant) else { return };
-        line.waiting.remove(&(until, id));
-        self.order.remove(&(line.turn, tenant));
-        if line.waiting.is_empty() {
-            self.of.remove(&tenant);
+        let Some(queue) = self.tenants.get_mut(&tenant) else { return };
+        queue.waiting.remove(&(wait_until, id));
+        self.turn_order.remove(&(queue.turn, tenant));
+        if queue.waiting.is_empty() {
+            self.tenants.remove(&tenant);
         } else {
-            self.turns += 1;
-            line.turn = self.turns;
-            self.order.insert((line.turn, tenant));
+            self.last_turn += 1;
+            queue.turn = self.last_turn;
+            self.turn_order.insert((queue.turn, tenant));
         }
     }
 }
--- a/sessions/src/servers.rs
+++ b/sessions/src/servers.rs
@@ -1,33 +1,34 @@
-//! The pace at which a server takes connections of this router, and the servers that take one now, without a walk
-//! over all of them.
+//! The rate at which each server takes connections of this router, and which servers can take one now,
+//! without iterating over all of them.
 
 use crate::{Millis, Rules, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A server that something speaks against gets nothing for so long, and at most for so long.
-const REST: Millis = 200;
-const LONGEST_REST: Millis = 5_000;
+/// Backoff in ms after the first failure at a server; it doubles with each further one.
+const INITIAL_BACKOFF: Millis = 200;
+/// Longest backoff, in ms.
+const MAX_BACKOFF: Millis = 5_000;
 
-/// How servers warm up.
+/// Slow start of fresh servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// What a fresh one can do, of what a warm one can.
+    /// The share of its full rate that a fresh server can take.
     pub cold_share: f64,
-    /// It is warm after this time.
+    /// A server is warm this long after its start, in ms.
     pub warm_up: Millis,
 }
 
 impl Rules {
-    /// This router's part of what a server takes now, in connections a second.
-    pub(crate) fn rate(&self, up_since: Option<Millis>, now: Millis) -> f64 {
+    /// This router's share of the rate that a server takes now, in connections per second.
+    pub(crate) fn server_rate(&self, up_since: Option<Millis>, now: Millis) -> f64 {
         let age = up_since.map(|up| now.saturating_sub(up)).filter(|age| *age < self.slow_start.warm_up);
         let cold = self.slow_start.cold_share;
         let warm = age.map_or(1.0, |age| cold + (1.0 - cold) * age as f64 / self.slow_start.warm_up as f64);
-        self.each() * warm
+        self.warm_rate() * warm
     }
 
-    /// The same of a warm one.
-    fn each(&self) -> f64 {
+    /// This router's share of the rate of a warm server.
+    fn warm_rate(&self) -> f64 {
         self.warm_opens_per_s / f64::from(self.routers.max(1))
     }
 }
@@ -35,195 +36,202 @@
 /// One server.
 pub(crate) struct Server {
     pub(crate) up_since: Option<Millis>,
-    /// Known to drain: until when its connections may wait for a move.
-    pub(crate) drains: Option<Millis>,
-    /// It is on no list any more; forgotten once nothing of ours is there.
+    /// Until when its connections may wait for a move; set while the server drains.
+    pub(crate) drain_until: Option<Millis>,
+    /// No longer listed. The entry is removed once no connection of this router is there.
     pub(crate) gone: bool,
-    /// Connections open there, the longest first.
+    /// Connections open there, the oldest first.
     pub(crate) open: BTreeSet<(Millis, crate::SessionId)>,
-    /// On their way there.
-    pub(crate) coming: usize,
-    /// From when on the next one may go: a bucket as deep as one connection. A deeper one would let all routers send
-    /// theirs at once.
-    next: Millis,
-    /// Attempts that failed there, and connections that broke, since one got there last.
-    failed: u32,
+    /// Connections on their way there.
+    pub(crate) incoming: usize,
+    /// When the next connection may go there: a token bucket with a capacity of one connection. With a larger
+    /// one all routers could send theirs at once.
+    next_turn: Millis,
+    /// Failed attempts and broken connections since a connection was last opened there.
+    failures: u32,
 }
 
 impl Server {
-    /// Open there and on their way.
-    pub(crate) fn held(&self) -> usize {
-        self.open.len() + self.coming
+    /// Connections open there and on their way.
+    pub(crate) fn connection_count(&self) -> usize {
+        self.open.len() + self.incoming
     }
 }
 
-/// All servers known.
+/// All known servers.
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct ServerPool {
     servers: BTreeMap<ServerId, Server>,
-    /// Servers that are listed, do not drain and have a place left, by when they take the next one.
+    /// Servers that are listed, do not drain and have room, by the time at which they take the next
+    /// connection.
     ready: BTreeSet<(Millis, ServerId)>,
-    /// Of the servers that take connections the cold ones, by their start, and the sum of those starts: what all can
-    /// take is reckoned from these without a walk.
+    /// The cold servers among those that accept connections, by their start times. With the sum of these
+    /// times the total rate is computed without iterating.
     cold: BTreeSet<(Millis, ServerId)>,
-    cold_sum: u128,
-    /// How many take connections, cold ones too.
-    taking: usize,
+    cold_start_sum: u128,
+    /// Number of servers that accept connections, including cold ones.
+    accepting: usize,
 }
 
-impl Fleet {
+impl ServerPool {
     pub(crate) fn get(&self, server: ServerId) -> Option<&Server> {
         self.servers.get(&server)
     }
 
-    /// A server is listed and does not drain. A later start voids what was known of its pace.
+    /// A server is listed and does not drain. If it has restarted, what was known about its rate no longer
+    /// applies.
     pub(crate) fn list(&mut self, rules: &Rules, id: ServerId, up_since: Option<Millis>, now: Millis) {
-        self.take_out(id);
+        self.remove_from_accepting(id);
         let fresh = || Server {
             up_since,
-            drains: None,
+            drain_until: None,
             gone: false,
             open: BTreeSet::new(),
-            coming: 0,
-            next: now,
-            failed: 0,
+            incoming: 0,
+            next_turn: now,
+            failures: 0,
         };
         let server = self.servers.entry(id).or_insert_with(fresh);
         if server.up_since != up_since {
-            (server.next, server.failed) = (now, 0);
+            (server.next_turn, server.failures) = (now, 0);
         }
-        (server.up_since, server.drains, server.gone) = (up_since, None, false);
-        self.taking += 1;
+        (server.up_since, server.drain_until, server.gone) = (up_since, None, false);
+        self.accepting += 1;
         if let Some(up) = up_since.filter(|up| now.saturating_sub(*up) < rules.slow_start.warm_up) {
             self.cold.insert((up, id));
-            self.cold_sum += u128::from(up);
+            self.cold_start_sum += u128::from(up);
         }
-        self.put_in(rules, id);
+        self.add_to_ready(rules, id);
     }
 
-    /// A server drains or is gone: it gets nothing new, and its connections wait until then. True if that is news.
-    pub(crate) fn drain(&mut self, id: ServerId, gone: bool, until: Millis) -> bool {
-        self.take_out(id);
+    /// A server drains or is gone: it gets no new connections, and those it has wait until the given time.
+    /// Returns true if it was not draining before.
+    pub(crate) fn drain(&mut self, id: ServerId, gone: bool, wait_until: Millis) -> bool {
+        self.remove_from_accepting(id);
         let Some(server) = self.servers.get_mut(&id) else { return false };
-        let news = server.drains.is_none();
-        server.drains.get_or_insert(until);
+        let is_new = server.drain_until.is_none();
+        server.drain_until.get_or_insert(wait_until);
         server.gone |= gone;
-        self.forget(id);
-        news
+        self.remove_if_unused(id);
+        is_new
     }
 
-    /// It no longer counts among those that take connections.
-    fn take_out(&mut self, id: ServerId) {
-        let Some(server) = self.servers.get(&id).filter(|server| server.drains.is_none()) else { return };
-        self.ready.remove(&(server.next, id));
-        self.taking = self.taking.saturating_sub(1);
+    /// Removes a server from those that accept connections.
+    fn remove_from_accepting(&mut self, id: ServerId) {
+        let Some(server) = self.servers.get(&id).filter(|server| server.drain_until.is_none()) else {
+            return;
+        };
+        self.ready.remove(&(server.next_turn, id));
+        self.accepting = self.accepting.saturating_sub(1);
         if let Some(up) = server.up_since.filter(|up| self.cold.remove(&(*up, id))) {
-            self.cold_sum -= u128::from(up);
+            self.cold_start_sum -= u128::from(up);
         }
     }
 
-    /// Where it belongs in the order of those that are ready, if it has a place left.
-    fn put_in(&mut self, rules: &Rules, id: ServerId) {
+    /// Adds a server to the ready ones if it accepts connections and has room.
+    fn add_to_ready(&mut self, rules: &Rules, id: ServerId) {
         if let Some(server) = self.servers.get(&id)
-            && server.drains.is_none()
-            && server.held() < rules.max_per_server
+            && server.drain_until.is_none()
+            && server.connection_count() < rules.max_per_server
         {
-            self.ready.insert((server.next, id));
+            self.ready.insert((server.next_turn, id));
         }
     }
 
-    /// Changes a server and keeps the order true.
-    fn change(&mut self, rules: &Rules, id: ServerId, change: impl FnOnce(&mut Server)) {
+    /// Updates a server and its place among the ready ones.
+    fn update(&mut self, rules: &Rules, id: ServerId, change: impl FnOnce(&mut Server)) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        self.ready.remove(&(server.next, id));
+        self.ready.remove(&(server.next_turn, id));
         change(server);
-        self.put_in(rules, id);
-        self.forget(id);
+        self.add_to_ready(rules, id);
+        self.remove_if_unused(id);
     }
 
-    /// A server that is on no list is forgotten once nothing of ours is there.
-    fn forget(&mut self, id: ServerId) {
-        if self.servers.get(&id).is_some_and(|server| server.gone && server.held() == 0) {
+    /// Removes a server that is no longer listed once no connection of this router is there.
+    fn remove_if_unused(&mut self, id: ServerId) {
+        if self.servers.get(&id).is_some_and(|server| server.gone && server.connection_count() == 0) {
             self.servers.remove(&id);
         }
     }
 
-    /// A connection is on its way there: its turn is spent.
-    pub(crate) fn spend(&mut self, rules: &Rules, id: ServerId, now: Millis) {
-        self.change(rules, id, |server| {
-            let rate = rules.rate(server.up_since, now);
-            server.next = now.saturating_add((1_000.0 / rate.max(1e-9)).ceil() as Millis);
-            server.coming += 1;
+    /// A connection is on its way to the server, which uses up the server's turn.
+    pub(crate) fn add_attempt(&mut self, rules: &Rules, id: ServerId, now: Millis) {
+        self.update(rules, id, |server| {
+            let rate = rules.server_rate(server.up_since, now);
+            server.next_turn = now.saturating_add((1_000.0 / rate.max(1e-9)).ceil() as Millis);
+            server.incoming += 1;
         });
     }
 
-    /// It is about to move away: until it has, it counts there as one on its way.
-    pub(crate) fn hold(&mut self, rules: &Rules, id: ServerId) {
-        self.change(rules, id, |server| server.coming += 1);
+    /// A connection is about to move away; until then it counts as incoming.
+    pub(crate) fn add_incoming(&mut self, rules: &Rules, id: ServerId) {
+        self.update(rules, id, |server| server.incoming += 1);
     }
 
-    /// It did not get there.
-    pub(crate) fn lost(&mut self, rules: &Rules, id: ServerId) {
-        self.change(rules, id, |server| server.coming = server.coming.saturating_sub(1));
+    /// An incoming connection did not arrive.
+    pub(crate) fn drop_incoming(&mut self, rules: &Rules, id: ServerId) {
+        self.update(rules, id, |server| server.incoming = server.incoming.saturating_sub(1));
     }
 
-    /// Something speaks against a server: it rests, twice as long each time until a connection gets there. What waits
-    /// goes to others first, and a server that is dead and still listed costs few attempts.
-    pub(crate) fn rest(&mut self, rules: &Rules, id: ServerId, now: Millis) {
-        self.change(rules, id, |server| {
-            let rest = (REST << server.failed.min(8)).min(LONGEST_REST);
-            server.failed = server.failed.saturating_add(1);
-            server.next = server.next.max(now + rest);
+    /// Something failed at a server: it gets no connections for a backoff that doubles each time until a
+    /// connection is opened there. Waiting connections go to other servers first, and a server that is dead
+    /// but still listed costs few attempts.
+    pub(crate) fn back_off(&mut self, rules: &Rules, id: ServerId, now: Millis) {
+        self.update(rules, id, |server| {
+            let backoff = (INITIAL_BACKOFF << server.failures.min(8)).min(MAX_BACKOFF);
+            server.failures = server.failures.saturating_add(1);
+            server.next_turn = server.next_turn.max(now + backoff);
         });
     }
 
-    /// It got there.
-    pub(crate) fn arrived(&mut self, rules: &Rules, id: ServerId, key: (Millis, crate::SessionId)) {
-        self.change(rules, id, |server| {
-            server.coming = server.coming.saturating_sub(1);
-            server.failed = 0;
+    /// A connection was opened there.
+    pub(crate) fn connection_opened(&mut self, rules: &Rules, id: ServerId, key: (Millis, crate::SessionId)) {
+        self.update(rules, id, |server| {
+            server.incoming = server.incoming.saturating_sub(1);
+            server.failures = 0;
             server.open.insert(key);
         });
     }
 
-    /// It has left.
-    pub(crate) fn left(&mut self, rules: &Rules, id: ServerId, key: (Millis, crate::SessionId)) {
-        self.change(rules, id, |server| {
+    /// A connection has left.
+    pub(crate) fn connection_left(&mut self, rules: &Rules, id: ServerId, key: (Millis, crate::SessionId)) {
+        self.update(rules, id, |server| {
             server.open.remove(&key);
         });
     }
 
-    /// The caps have changed.
-    pub(crate) fn reorder(&mut self, rules: &Rules) {
+    /// Rebuilds the ready set after the limits have changed.
+    pub(crate) fn rebuild_ready(&mut self, rules: &Rules) {
         self.ready.clear();
         let all: Vec<ServerId> = self.servers.keys().copied().collect();
-        all.into_iter().for_each(|id| self.put_in(rules, id));
+        all.into_iter().for_each(|id| self.add_to_ready(rules, id));
     }
 
     /// When the next server takes a connection.
-    pub(crate) fn next(&self) -> Option<Millis> {
+    pub(crate) fn next_turn(&self) -> Option<Millis> {
         self.ready.first().map(|(next, _)| *next)
     }
 
-    /// Servers that take one now, those that rested longest first, so many at most.
-    pub(crate) fn ready(&self, now: Millis, most: usize) -> impl Iterator<Item = ServerId> {
-        self.ready.iter().take_while(move |(next, _)| *next <= now).take(most).map(|(_, id)| *id)
+    /// Up to `limit` servers that can take a connection now, those that have been ready longest first.
+    pub(crate) fn ready(&self, now: Millis, limit: usize) -> impl Iterator<Item = ServerId> {
+        self.ready.iter().take_while(move |(next, _)| *next <= now).take(limit).map(|(_, id)| *id)
     }
 
-    /// What this router may open at all servers together, in connections a second, as it will be at `then`.
-    pub(crate) fn rate(&mut self, rules: &Rules, now: Millis, then: Millis) -> f64 {
+    /// The rate at which this router may open connections at all servers together, in connections per second,
+    /// as it will be at `then`.
+    pub(crate) fn total_rate(&mut self, rules: &Rules, now: Millis, then: Millis) -> f64 {
         while let Some((up, id)) = self.cold.first().copied() {
             if now.saturating_sub(up) < rules.slow_start.warm_up {
                 break;
             }
             self.cold.remove(&(up, id));
-            self.cold_sum -= u128::from(up);
+            self.cold_start_sum -= u128::from(up);
         }
         let cold = self.cold.len() as f64;
-        let age =
-            (cold * then as f64 - self.cold_sum as f64).max(0.0) / rules.slow_start.warm_up.max(1) as f64;
+        let age = (cold * then as f64 - self.cold_start_sum as f64).max(0.0)
+            / rules.slow_start.warm_up.max(1) as f64;
         let share = rules.slow_start.cold_share;
         let warming = (cold * share + (1.0 - share) * age).min(cold);
-        rules.each() * (self.taking as f64 - cold + warming)
+        rules.warm_rate() * (self.accepting as f64 - cold + warming)
     }
 }
--- a/sessions/tests/sessions.rs
+++ b/sessions/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! What must hold for long-lived connections whatever happens, and a release with cold successors.
+//! Invariants of long-lived connections under random events, and rollouts with cold replacement servers.
 
 use fawnstream_sessions::{
     Action, AttemptOutcome, CloseCause, Counts, MAX_ACTIONS_PER_TICK, Millis, Refusal, Rules, ServerId,
@@ -25,8 +25,8 @@
     }
 }
 
-/// Lets so many in, one every 200 ms, at the offered server that rested longest.
-fn fill(sessions: &mut Sessions, ids: std::ops::Range<u64>, mut now: Millis) -> Millis {
+/// Opens these connections, one every 200 ms, each at the first offered server, which has been ready longest.
+fn open_sessions(sessions: &mut Sessions, ids: std::ops::Range<u64>, mut now: Millis) -> Millis {
     for id in ids {
         sessions.enqueue(SessionId(id), TenantId(id % 2), true, now).unwrap();
         for action in sessions.tick(now, |_, offered| offered.first().copied()) {
@@ -40,16 +40,16 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u64),
+    Enqueue(u64),
     End(usize),
-    Bind(usize, bool),
-    List(u64, bool),
-    Drain(u64, bool),
+    SetMovable(usize, bool),
+    ServerListed(u64, bool),
+    ServerDraining(u64, bool),
     Tick(usize),
-    Tried(usize, AttemptOutcome),
-    Broke(usize),
-    Away,
-    Back,
+    AttemptEnded(usize, AttemptOutcome),
+    UpstreamBroke(usize),
+    StartDrain,
+    EndDrain,
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
@@ -60,139 +60,141 @@
         1 => Just(AttemptOutcome::Deferred)
     ];
     let step = prop_oneof![
-        8 => (0..3u64).prop_map(Step::Ask),
+        8 => (0..3u64).prop_map(Step::Enqueue),
         1 => (0..60usize).prop_map(Step::End),
-        1 => (0..60usize, any::<bool>()).prop_map(|(session, movable)| Step::Bind(session, movable)),
-        3 => (0..6u64, any::<bool>()).prop_map(|(server, fresh)| Step::List(server, fresh)),
-        2 => (0..6u64, any::<bool>()).prop_map(|(server, gone)| Step::Drain(server, gone)),
+        1 => (0..60usize, any::<bool>()).prop_map(|(session, movable)| Step::SetMovable(session, movable)),
+        3 => (0..6u64, any::<bool>()).prop_map(|(server, fresh)| Step::ServerListed(server, fresh)),
+        2 => (0..6u64, any::<bool>()).prop_map(|(server, gone)| Step::ServerDraining(server, gone)),
         8 => (0..16usize).prop_map(Step::Tick),
-        8 => (0..60usize, attempt).prop_map(|(session, attempt)| Step::Tried(session, attempt)),
-        2 => (0..60usize).prop_map(Step::Broke),
-        1 => Just(Step::Away),
-        1 => Just(Step::Back),
+        8 => (0..60usize, attempt).prop_map(|(session, attempt)| Step::AttemptEnded(session, attempt)),
+        2 => (0..60usize).prop_map(Step::UpstreamBroke),
+        1 => Just(Step::StartDrain),
+        1 => Just(Step::EndDrain),
     ];
     prop::collection::vec((0..500u64, step), 1..200)
 }
 
-/// The same cases each time: a run says the same as the one before it. Other seeds are for looking further.
-fn fixed() -> ProptestConfig {
+/// Uses a fixed seed, so that every run checks the same cases; `CASES_SEED` selects others.
+fn fixed_seed_config() -> ProptestConfig {
     let seed = std::env::var("CASES_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(7);
     ProptestConfig { rng_seed: RngSeed::Fixed(seed), failure_persistence: None, ..ProptestConfig::default() }
 }
 
-/// A connection as its router sees it: where it has an upstream, and where one is being opened.
+/// A connection as its router sees it: the server of its upstream, and the server where one is being opened.
 #[derive(Clone, Copy, Default)]
-struct Seen {
+struct RouterView {
     at: Option<u64>,
     to: Option<u64>,
 }
 
 proptest! {
-    #![proptest_config(fixed())]
-    /// Caps hold; nothing ends twice, has two attempts out, or is sent to a server that takes nothing; what is held
-    /// adds up at each server; nobody waits for longer than it may; and time alone ends every wait.
+    #![proptest_config(fixed_seed_config())]
+    /// Limits hold; no connection ends twice, has two attempts at once or is sent to a server that accepts
+    /// none; the counts add up at each server; no wait exceeds its limit; and the passing of time alone ends
+    /// every wait.
     #[test]
-    fn every_connection_ends_once_and_all_adds_up(steps in steps()) {
+    fn connections_end_once_and_counts_add_up(steps in steps()) {
         let rules = Rules {
             max_sessions: 30, max_per_server: 8, max_per_tenant: 12, max_waiting_moves: 5, max_queued: 6, ..rules(2)
         };
         let mut sessions = Sessions::new(rules, 7);
         let (mut now, mut next) = (20_000, 0u64);
-        let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
-        let mut drains: BTreeMap<u64, bool> = BTreeMap::new();
+        let mut views: BTreeMap<u64, RouterView> = BTreeMap::new();
+        let mut draining: BTreeMap<u64, bool> = BTreeMap::new();
         for server in 0..3 {
             sessions.server_listed(ServerId(server), None, now);
-            drains.insert(server, false);
+            draining.insert(server, false);
         }
-        let nth = |seen: &BTreeMap<u64, Seen>, place: usize| {
-            seen.keys().nth(place % seen.len().max(1)).copied()
+        let nth = |views: &BTreeMap<u64, RouterView>, index: usize| {
+            views.keys().nth(index % views.len().max(1)).copied()
         };
         for (wait, step) in steps {
             now += wait;
             let mut actions = Vec::new();
             match step {
-                Step::Ask(tenant) => {
+                Step::Enqueue(tenant) => {
                     if sessions.enqueue(SessionId(next), TenantId(tenant), next % 2 == 0, now).is_ok() {
-                        seen.insert(next, Seen::default());
+                        views.insert(next, RouterView::default());
                     }
                     next += 1;
                 }
                 Step::End(place) => {
-                    if let Some(id) = nth(&seen, place) {
+                    if let Some(id) = nth(&views, place) {
                         sessions.session_ended(SessionId(id));
                         sessions.session_ended(SessionId(id));
-                        seen.remove(&id);
+                        views.remove(&id);
                     }
                 }
-                Step::Bind(place, movable) => {
-                    if let Some(id) = nth(&seen, place) {
+                Step::SetMovable(place, movable) => {
+                    if let Some(id) = nth(&views, place) {
                         sessions.set_movable(SessionId(id), movable);
                     }
                 }
-                Step::List(server, fresh) => {
+                Step::ServerListed(server, fresh) => {
                     sessions.server_listed(ServerId(server), fresh.then_some(now), now);
-                    drains.insert(server, false);
+                    draining.insert(server, false);
                 }
-                Step::Drain(server, gone) => {
+                Step::ServerDraining(server, gone) => {
                     sessions.server_draining(ServerId(server), gone, now);
-                    drains.insert(server, true);
+                    draining.insert(server, true);
                 }
                 Step::Tick(place) => actions = sessions.tick(now, |_, offered| {
-                    assert!(offered.iter().all(|server| !drains[&server.0]));
+                    assert!(offered.iter().all(|server| !draining[&server.0]));
                     offered.get(place).or(offered.first()).copied().filter(|_| place != 15)
                 }),
-                Step::Tried(place, attempt) => {
-                    if let Some(id) = nth(&seen, place) {
+                Step::AttemptEnded(place, attempt) => {
+                    if let Some(id) = nth(&views, place) {
                         actions.extend(sessions.attempt_ended(SessionId(id), attempt, now));
-                        if let Some(known) = seen.get_mut(&id)
-                            && let Some(to) = known.to.take()
+                        if let Some(view) = views.get_mut(&id)
+                            && let Some(to) = view.to.take()
                             && attempt == AttemptOutcome::Opened
                         {
-                            known.at = Some(to);
+                            view.at = Some(to);
                         }
                     }
                 }
-                Step::Broke(place) => {
-                    if let Some(id) = nth(&seen, place).filter(|id| seen[id].at.is_some()) {
+                Step::UpstreamBroke(place) => {
+                    if let Some(id) = nth(&views, place).filter(|id| views[id].at.is_some()) {
                         actions.extend(sessions.upstream_broke(SessionId(id), now));
-                        seen.get_mut(&id).unwrap().at = None;
+                        views.get_mut(&id).unwrap().at = None;
                     }
                 }
-                Step::Away => sessions.start_drain(now),
-                Step::Back => sessions.end_drain(),
+                Step::StartDrain => sessions.start_drain(now),
+                Step::EndDrain => sessions.end_drain(),
             }
             for action in actions {
                 match action {
                     Action::Close { session, retry_after, .. } | Action::Refuse { session, retry_after, .. } => {
-                        let known = seen.remove(&session.0);
-                        prop_assert!(known.is_some(), "ended twice, or never there");
+                        let view = views.remove(&session.0);
+                        prop_assert!(view.is_some(), "ended twice, or unknown");
                         prop_assert!(retry_after > 0);
                     }
                     Action::Open { session, to } | Action::Move { session, to } => {
-                        let known = seen.get_mut(&session.0).expect("one that is there");
+                        let view = views.get_mut(&session.0).expect("an action for a known connection");
                         let new = matches!(action, Action::Open { .. });
-                        prop_assert!(known.to.is_none(), "two attempts at once");
-                        prop_assert!(!new || known.at.is_none());
-                        known.to = Some(to.0);
+                        prop_assert!(view.to.is_none(), "two attempts at once");
+                        prop_assert!(!new || view.at.is_none());
+                        view.to = Some(to.0);
                     }
                 }
             }
             let counts = sessions.counts();
             let Counts { open, queued, awaiting_move, attempting } = counts;
-            prop_assert_eq!(open + queued + awaiting_move + attempting, seen.len());
-            prop_assert_eq!(attempting, seen.values().filter(|known| known.to.is_some()).count());
-            prop_assert!(queued <= rules.max_queued + 1 && seen.len() <= rules.max_sessions, "{:?}", counts);
+            prop_assert_eq!(open + queued + awaiting_move + attempting, views.len());
+            prop_assert_eq!(attempting, views.values().filter(|view| view.to.is_some()).count());
+            prop_assert!(queued <= rules.max_queued + 1 && views.len() <= rules.max_sessions, "{:?}", counts);
             for server in 0..6 {
-                let at = |known: &&Seen| known.at == Some(server) || known.to == Some(server);
-                let held = seen.values().filter(at).count();
+                let at = |view: &&RouterView| view.at == Some(server) || view.to == Some(server);
+                let held = views.values().filter(at).count();
                 prop_assert_eq!(sessions.connections_at(ServerId(server)), held, "at {}", server);
                 prop_assert!(held <= rules.max_per_server);
             }
         }
-        // Whatever is out fails; then time alone ends every wait, and what is left is open.
-        for (id, _) in seen.clone().iter().filter(|(_, known)| known.to.is_some()) {
+        // All attempts in progress fail. Then time alone ends every wait, and the remaining connections are
+        // open.
+        for (id, _) in views.clone().iter().filter(|(_, view)| view.to.is_some()) {
             if sessions.attempt_ended(SessionId(*id), AttemptOutcome::NotRun, now).is_some() {
-                seen.remove(id);
+                views.remove(id);
             }
         }
         (0..6).for_each(|server| sessions.server_draining(ServerId(server), true, now));
@@ -203,27 +205,27 @@
                 let (Action::Close { session, .. } | Action::Refuse { session, .. }) = action else {
                     panic!("{action:?} with no server")
                 };
-                prop_assert!(seen.remove(&session.0).is_some());
+                prop_assert!(views.remove(&session.0).is_some());
             }
         }
-        prop_assert!(seen.is_empty() && sessions.counts() == Counts::default());
+        prop_assert!(views.is_empty() && sessions.counts() == Counts::default());
         (0..6).for_each(|server| assert_eq!(sessions.connections_at(ServerId(server)), 0));
     }
 }
 
-/// A release as all routers see it: so many routers, each with so many connections at three servers that drain
-/// at once; two cold servers take their place. Gives each successor's arrivals, how many were closed, and how long
-/// it took.
-fn release(routers: u32, each: u64) -> (BTreeMap<ServerId, Vec<Millis>>, usize, Millis) {
+/// A rollout as all routers see it: each router has `each` connections at three servers that drain at the
+/// same time, and two cold servers replace them. Returns the arrival times at each replacement, how many
+/// connections were closed, and how long it took.
+fn simulate_rollout(routers: u32, each: u64) -> (BTreeMap<ServerId, Vec<Millis>>, usize, Millis) {
     let start = 200_000;
     let mut all: Vec<Sessions> =
         (0..routers).map(|router| Sessions::new(rules(routers), u64::from(router))).collect();
     for sessions in &mut all {
         (0..3).for_each(|server| sessions.server_listed(ServerId(server), None, 0));
-        // New ones wait for turns of 600 ms where 48 routers share them.
+        // New connections wait for turns of 600 ms if 48 routers share the servers.
         let mut now = 10_000;
         for id in 0..each {
-            now = fill(sessions, id..id + 1, now + 400);
+            now = open_sessions(sessions, id..id + 1, now + 400);
         }
         assert!(now <= start && sessions.counts().open == each as usize);
         sessions.server_listed(ServerId(8), Some(start - 500), start - 500);
@@ -259,23 +261,27 @@
     (arrivals, closed, now - start)
 }
 
-/// Over any window the sum of all routers stays under what a successor takes then, and one connection for each
-/// router; and nothing is left hanging.
+/// Over any time window the arrivals from all routers stay within the rate that a replacement takes then,
+/// plus one connection per router; and no connection is left waiting.
 #[test]
-fn a_release_floods_no_cold_successor() {
+fn rollout_stays_within_rate_of_cold_servers() {
     for (routers, each) in [(1, 300), (3, 200), (8, 150), (48, 40)] {
-        let (arrivals, closed, took) = release(routers, each);
+        let (arrivals, closed, took) = simulate_rollout(routers, each);
         let moved: usize = arrivals.values().map(Vec::len).sum();
         assert_eq!((moved + closed) as u64, u64::from(routers) * each);
         assert!(moved > 0 && took <= rules(1).max_move_wait + 20);
         for times in arrivals.values() {
             for (first, from) in times.iter().enumerate() {
                 for (last, to) in times.iter().enumerate().skip(first) {
-                    // Warmth only grows: what it takes at the window's end is the most.
+                    // The rate only grows, so the rate at the window's end is the highest.
                     let warm = 0.3 + 0.7 * (*to - 199_500) as f64 / 10_000.0;
-                    let most = 80.0 * warm * (to - from) as f64 / 1_000.0 + f64::from(routers);
-                    let came = (last - first + 1) as f64;
-                    assert!(came <= most + 1.0, "{routers} routers: {came} in {} ms", to - from);
+                    let max_arrivals = 80.0 * warm * (to - from) as f64 / 1_000.0 + f64::from(routers);
+                    let arrived = (last - first + 1) as f64;
+                    assert!(
+                        arrived <= max_arrivals + 1.0,
+                        "{routers} routers: {arrived} in {} ms",
+                        to - from
+                    );
                 }
             }
         }
@@ -283,13 +289,13 @@
     }
 }
 
-/// A release takes most of the turns, and yet new connections come in; one customer's storm does not shut the others
-/// out.
+/// A rollout uses most of the turns, and new connections are still admitted; a burst of one tenant does not
+/// block the others.
 #[test]
-fn a_release_and_a_storm_leave_turns_for_others() {
+fn rollout_and_burst_leave_turns_for_other_tenants() {
     let mut sessions = Sessions::new(rules(1), 1);
     (0..3).for_each(|server| sessions.server_listed(ServerId(server), None, 0));
-    let now = fill(&mut sessions, 0..200, 1_000);
+    let now = open_sessions(&mut sessions, 0..200, 1_000);
     sessions.server_draining(ServerId(0), false, now);
     (0..80).for_each(|id| sessions.enqueue(SessionId(1_000 + id), TenantId(5), true, now).unwrap());
     (0..3).for_each(|id| sessions.enqueue(SessionId(2_000 + id), TenantId(6), true, now).unwrap());
@@ -304,27 +310,28 @@
         }
     }
     let quiet: Vec<usize> =
-        (0..3).filter_map(|id| order.iter().position(|known| *known == 2_000 + id)).collect();
+        (0..3).filter_map(|id| order.iter().position(|opened| *opened == 2_000 + id)).collect();
     assert!(quiet.len() == 3 && quiet[2] <= 6, "{order:?}");
     assert!(moves >= 2 * order.len() && order.len() >= 12, "{moves} moves, {} new", order.len());
-    // The rest of the storm hears at once when its wait ends.
+    // The rest of the burst is refused as soon as its wait ends.
     let turned = sessions.tick(now + 400, |_, _| None);
     let busy = |action: &&Action| matches!(action, Action::Refuse { reason: Refusal::QueueTimeout, .. });
     assert_eq!(turned.iter().filter(busy).count(), 83 - order.len());
 }
 
 #[test]
-fn caps_turn_away() {
+fn limits_refuse_new_connections() {
     let mut sessions =
         Sessions::new(Rules { max_sessions: 3, max_per_tenant: 2, max_queued: 2, ..rules(1) }, 1);
     let mut ask =
         |id, tenant| sessions.enqueue(SessionId(id), TenantId(tenant), true, 0).map_err(|(why, _)| why);
     assert_eq!((ask(1, 1), ask(2, 1), ask(3, 1)), (Ok(()), Ok(()), Err(Refusal::TenantLimit)));
-    assert_eq!(ask(4, 2), Err(Refusal::RouterLimit), "the line of those that ask is full");
+    assert_eq!(ask(4, 2), Err(Refusal::RouterLimit), "the queue of new connections is full");
     sessions.server_listed(ServerId(1), None, 0);
     let opened = sessions.tick(0, |_, offered| offered.first().copied());
     assert_eq!(opened, [Action::Open { session: SessionId(1), to: ServerId(1) }]);
-    // Refusal away and tried elsewhere while it may be; then it is told so. The server rests meanwhile.
+    // It is refused and tried at another server while attempts are left, then refused to the client. The
+    // first server backs off meanwhile.
     assert_eq!(sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, 1), None);
     assert_eq!(sessions.tick(150, |_, offered| offered.first().copied()), []);
     sessions.server_listed(ServerId(2), None, 150);
@@ -335,7 +342,7 @@
         turned,
         Some(Action::Refuse { session: SessionId(1), reason: Refusal::NoServerAccepted, .. })
     ));
-    // What may have run is not made again where it must not run twice.
+    // An upgrade that may have run is not repeated if it must not run twice.
     sessions.session_ended(SessionId(2));
     sessions.enqueue(SessionId(5), TenantId(1), false, 300).unwrap();
     sessions.tick(400, |_, offered| offered.first().copied());
@@ -344,19 +351,19 @@
     assert_eq!(sessions.counts(), Counts::default());
 }
 
-/// What cannot move when its turn comes is closed then; a failed move goes on at the old server until its tries are
-/// used up; one whose upstream broke is first in line.
+/// A connection that cannot move when its turn comes is closed then; one whose move failed stays at the old
+/// server until its attempts are used up; one whose upstream broke has the first turn.
 #[test]
-fn moves_end_in_one_outcome() {
+fn each_move_ends_in_one_outcome() {
     let mut sessions = Sessions::new(rules(1), 1);
     sessions.server_listed(ServerId(1), None, 0);
-    let now = fill(&mut sessions, 0..4, 1_000);
+    let now = open_sessions(&mut sessions, 0..4, 1_000);
     sessions.set_movable(SessionId(0), false);
     sessions.set_movable(SessionId(2), false);
     sessions.server_draining(ServerId(1), false, now);
     assert_eq!((sessions.counts().awaiting_move, sessions.tick(now, |_, _| None)), (4, vec![]));
     sessions.server_listed(ServerId(2), None, now);
-    // It has been acknowledged meanwhile.
+    // Its messages have been acknowledged in the meantime.
     sessions.set_movable(SessionId(2), true);
     assert_eq!(sessions.upstream_broke(SessionId(3), now), None);
     let first = sessions.tick(now, |_, offered| offered.first().copied());
@@ -370,27 +377,31 @@
             Action::Move { session: SessionId(1), .. }
         ]
     ));
-    assert_eq!(sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, now + 60), None, "it waits on");
+    assert_eq!(
+        sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, now + 60),
+        None,
+        "it still waits for its move"
+    );
     assert_eq!(sessions.connections_at(ServerId(1)), 2);
-    // The old server is gone before the next turn comes.
+    // The old server is gone before the next turn.
     sessions.server_draining(ServerId(1), true, now + 70);
     let again = sessions.tick(now + 300, |_, offered| offered.first().copied());
     assert_eq!(again, [Action::Move { session: SessionId(1), to: ServerId(2) }]);
-    let tired = sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, now + 310);
-    assert!(matches!(tired, Some(Action::Close { cause: CloseCause::TryLater, .. })));
+    let given_up = sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, now + 310);
+    assert!(matches!(given_up, Some(Action::Close { cause: CloseCause::TryLater, .. })));
     let late = sessions.tick(now + 4_000, |_, _| None);
     assert!(matches!(late[..], [Action::Close { session: SessionId(2), cause: CloseCause::ServerGone, .. }]));
     assert_eq!((sessions.connections_at(ServerId(1)), sessions.counts().open), (0, 1));
 }
 
-/// A drained router closes its connections evenly, in parts that one event can take, and their clients do not come
-/// back together.
+/// A drained router closes its connections evenly, in parts small enough for one event, and with retry times
+/// that are spread out.
 #[test]
-fn a_router_that_goes_sends_all_away_evenly() {
+fn drained_router_closes_connections_evenly() {
     let many = Rules { max_sessions: 5_000, max_per_tenant: 5_000, max_per_server: 5_000, ..rules(1) };
     let mut sessions = Sessions::new(many, 3);
     sessions.server_listed(ServerId(1), None, 0);
-    let start = fill(&mut sessions, 0..1_000, 1_000);
+    let start = open_sessions(&mut sessions, 0..1_000, 1_000);
     sessions.start_drain(start);
     let refused = sessions.enqueue(SessionId(9_999), TenantId(1), true, start);
     assert!(matches!(refused, Err((Refusal::Draining, _))));
