--- a/sessions/tests/sessions.rs
+++ b/sessions/tests/sessions.rs
@@ -314,19 +314,19 @@
     assert!(quiet.len() == 3 && quiet[2] <= 6, "{order:?}");
     assert!(moves >= 2 * order.len() && order.len() >= 12, "{moves} moves, {} new", order.len());
     // The rest of the burst is refused as soon as its wait ends.
-    let turned = sessions.tick(now + 400, |_, _| None);
-    let busy = |action: &&Action| matches!(action, Action::Refuse { reason: Refusal::QueueTimeout, .. });
-    assert_eq!(turned.iter().filter(busy).count(), 83 - order.len());
+    let refused = sessions.tick(now + 400, |_, _| None);
+    let timed_out = |action: &&Action| matches!(action, Action::Refuse { reason: Refusal::QueueTimeout, .. });
+    assert_eq!(refused.iter().filter(timed_out).count(), 83 - order.len());
 }
 
 #[test]
 fn limits_refuse_new_connections() {
     let mut sessions =
         Sessions::new(Rules { max_sessions: 3, max_per_tenant: 2, max_queued: 2, ..rules(1) }, 1);
-    let mut ask =
+    let mut enqueue =
         |id, tenant| sessions.enqueue(SessionId(id), TenantId(tenant), true, 0).map_err(|(why, _)| why);
-    assert_eq!((ask(1, 1), ask(2, 1), ask(3, 1)), (Ok(()), Ok(()), Err(Refusal::TenantLimit)));
-    assert_eq!(ask(4, 2), Err(Refusal::RouterLimit), "the queue of new connections is full");
+    assert_eq!((enqueue(1, 1), enqueue(2, 1), enqueue(3, 1)), (Ok(()), Ok(()), Err(Refusal::TenantLimit)));
+    assert_eq!(enqueue(4, 2), Err(Refusal::RouterLimit), "the queue of new connections is full");
     sessions.server_listed(ServerId(1), None, 0);
     let opened = sessions.tick(0, |_, offered| offered.first().copied());
     assert_eq!(opened, [Action::Open { session: SessionId(1), to: ServerId(1) }]);
@@ -337,9 +337,9 @@
     sessions.server_listed(ServerId(2), None, 150);
     let again = sessions.tick(150, |_, offered| offered.first().copied());
     assert_eq!(again, [Action::Open { session: SessionId(1), to: ServerId(2) }]);
-    let turned = sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, 151);
+    let refused = sessions.attempt_ended(SessionId(1), AttemptOutcome::NotRun, 151);
     assert!(matches!(
-        turned,
+        refused,
         Some(Action::Refuse { session: SessionId(1), reason: Refusal::NoServerAccepted, .. })
     ));
     // An upgrade that may have run is not repeated if it must not run twice.
