--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -11,7 +11,7 @@
 use fawnstream::list::discovery::follow;
 use fawnstream::servers::{Fleet, close_arrives_within};
 use fawnstream_fleet::discovery_calls::{CallPacer, ListSource};
-use fawnstream_leases::Terms;
+use fawnstream_leases::LeaseConfig;
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use shedrelay::{ClassId, Key, ServerState, TenantId};
@@ -141,11 +141,11 @@
 fn start_router(shared: &Shared, number: usize) -> Option<Rc<Core>> {
     let (settings, names, links) = router_settings(&shared.size, number).ok()?;
     let seed = shared.conditions.seed.wrapping_add(number as u64);
-    let terms = Terms {
-        within: Duration::from_nanos(links.release_within.0),
+    let terms = LeaseConfig {
+        release_within: Duration::from_nanos(links.release_within.0),
         grace: LEASE_GRACE,
         close_arrives_within: close_arrives_within(links),
-        at_once: 2,
+        max_concurrent_releases: 2,
         seed,
     };
     let calls = CallPacer::new(settings.routers, seed);
