--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -68,7 +68,7 @@
     };
     if out.iter().any(|action| matches!(action, Action::Send { request, .. } if request.0 == id)) {
         router.handle(now, outcome(0, Verdict::Read), out);
-        router.handle(now, Event::First { request: RequestId(id), attempt: Attempt(1) }, out);
+        router.handle(now, Event::FirstToken { request: RequestId(id), attempt: Attempt(1) }, out);
     }
 }
 
@@ -79,7 +79,7 @@
     bencher.bench_local(move || {
         id += 1;
         ask(&mut router, id, &mut out);
-        router.handle(Time(1_000 + id), Event::Gone(RequestId(id)), &mut out);
+        router.handle(Time(1_000 + id), Event::ClientLeft(RequestId(id)), &mut out);
     });
 }
 
@@ -90,7 +90,7 @@
     bencher.bench_local(move || {
         id += 1;
         ask(&mut router, id, &mut out);
-        router.handle(Time(1_000 + id), Event::Gone(RequestId(id)), &mut out);
+        router.handle(Time(1_000 + id), Event::ClientLeft(RequestId(id)), &mut out);
     });
 }
 
@@ -99,7 +99,7 @@
 fn one_connection(bencher: divan::Bencher, (servers, open): (u64, u64)) {
     let (mut router, _) = full(servers, open);
     let offered: Vec<ServerId> = (0..servers.min(32)).filter(|id| id % 2 == 1).map(ServerId).collect();
-    bencher.bench_local(move || router.place(Time(20_000), &offered));
+    bencher.bench_local(move || router.place_connection(Time(20_000), &offered));
 }
 
 /// The look at what waits and what is silent, 25 times a second.
@@ -125,6 +125,6 @@
     bencher.bench_local(move || {
         id += 1;
         ask(&mut router, id, &mut out);
-        router.handle(Time(1_000 + id), Event::Gone(RequestId(id)), &mut out);
+        router.handle(Time(1_000 + id), Event::ClientLeft(RequestId(id)), &mut out);
     });
 }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -144,10 +144,10 @@
             let attempt = Attempt(fields.small("try")?);
             server(fields)?;
             fields.whole("delay_seen")?;
-            Event::First { request, attempt }
+            Event::FirstToken { request, attempt }
         }
         "returned" => outcome(fields)?,
-        "lapsed" => Event::Gone(RequestId(fields.whole("req")?)),
+        "lapsed" => Event::ClientLeft(RequestId(fields.whole("req")?)),
         "wakeup" => Event::Timer(TimerId(fields.whole("token")?)),
         "checked" => {
             fields.whole("delay_seen")?;
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -336,12 +336,12 @@
 
     /// The module's choice of a server for one more long-lived connection.
     pub fn place(&self, among: &[ServerId]) -> Option<ServerId> {
-        self.router.borrow_mut().place(self.now(), among)
+        self.router.borrow_mut().place_connection(self.now(), among)
     }
 
     /// What long-lived connections weigh at a server has changed by so many tokens.
     pub fn hold(&self, at: ServerId, tokens: f64) {
-        self.router.borrow_mut().hold(at, tokens);
+        self.router.borrow_mut().add_connection_load(at, tokens);
     }
 
     /// A listed server.
@@ -428,7 +428,7 @@
 
     /// Servers listed, and how many of them the module avoids now.
     pub fn targets(&self) -> (usize, usize) {
-        (self.list.borrow().len(), self.router.borrow().avoided(self.now()))
+        (self.list.borrow().len(), self.router.borrow().excluded_servers(self.now()))
     }
 
     /// A request of this class ended before it could be submitted. One whose class is not known counts nowhere.
@@ -639,7 +639,7 @@
             }
             _ => return,
         }
-        self.handle(Event::Gone(id));
+        self.handle(Event::ClientLeft(id));
         self.settle(id);
     }
 
@@ -734,7 +734,7 @@
         if late {
             log!("request overdue number={}", id.0);
             self.answer(id, Opening::Failed);
-            self.handle(Event::Gone(id));
+            self.handle(Event::ClientLeft(id));
             self.settle(id);
         }
     }
@@ -759,7 +759,7 @@
         }
         // A release that was under way ends.
         self.poll_leases();
-        self.handle(Event::First { request, attempt });
+        self.handle(Event::FirstToken { request, attempt });
         true
     }
 
@@ -768,7 +768,7 @@
         let now = Instant::now();
         if server.heard.get().is_none_or(|heard| now.duration_since(heard) >= HEARD_EVERY) {
             server.heard.set(Some(now));
-            self.handle(Event::Heard(server_id(&server.label)));
+            self.handle(Event::Activity(server_id(&server.label)));
         }
     }
 
@@ -900,7 +900,7 @@
                 let _ = stop.send(());
             }
             self.answer(id, Opening::Failed);
-            self.handle(Event::Gone(id));
+            self.handle(Event::ClientLeft(id));
             self.settle(id);
         }
     }
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -142,7 +142,7 @@
                 label(&sent_to)
             );
         }
-        self.handle(Event::HoldReleased(id));
+        self.handle(Event::LeaseReleased(id));
     }
 
     /// Asks a server to release what is held for a request.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -137,9 +137,9 @@
             "side_effect" => Effect::Unsafe,
             "token" => {
                 let scope = match self.dedup_scope.as_deref() {
-                    Some("all") => Scope::All,
-                    Some("zone") => Scope::Zone,
-                    Some("cell") => Scope::Cell,
+                    Some("all") => DedupScope::All,
+                    Some("zone") => DedupScope::Zone,
+                    Some("cell") => DedupScope::Cell,
                     other => return Err(format!("classes[].dedup_scope: unknown scope {other:?}")),
                 };
                 Effect::Keyed(scope, Span(self.memory_span))
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -141,7 +141,7 @@
 
 /// Which servers drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -156,18 +156,18 @@
     /// Nothing: it may be repeated.
     Safe,
     /// Repeats are dropped inside the scope for so long after the first send.
-    Keyed(Scope, Span),
+    Keyed(DedupScope, Span),
     /// It must never run twice.
     Unsafe,
 }
 
 impl Effect {
     /// Whether two servers drop each other's repeats of such a request, where any do.
-    pub fn groups(self, a: &Member, b: &Member) -> bool {
+    pub fn same_dedup_scope(self, a: &Member, b: &Member) -> bool {
         match self {
-            Effect::Keyed(Scope::Zone, _) => a.zone == b.zone,
-            Effect::Keyed(Scope::Cell, _) => a.cell == b.cell,
-            Effect::Keyed(Scope::All, _) | Effect::Safe | Effect::Unsafe => true,
+            Effect::Keyed(DedupScope::Zone, _) => a.zone == b.zone,
+            Effect::Keyed(DedupScope::Cell, _) => a.cell == b.cell,
+            Effect::Keyed(DedupScope::All, _) | Effect::Safe | Effect::Unsafe => true,
         }
     }
 
@@ -175,8 +175,10 @@
     pub fn repeat(self) -> Repeat {
         match self {
             Effect::Safe => Repeat::Harmless,
-            Effect::Keyed(Scope::All, window) => Repeat::DroppedEverywhere(window.into()),
-            Effect::Keyed(Scope::Zone | Scope::Cell, window) => Repeat::DroppedInGroup(window.into()),
+            Effect::Keyed(DedupScope::All, window) => Repeat::DroppedEverywhere(window.into()),
+            Effect::Keyed(DedupScope::Zone | DedupScope::Cell, window) => {
+                Repeat::DroppedInGroup(window.into())
+            }
             Effect::Unsafe => Repeat::Never,
         }
     }
@@ -348,17 +350,17 @@
 
 impl Request {
     /// Tokens that its answer's place will hold; the told maximum stands in for the answer's length.
-    pub fn size(&self) -> f64 {
+    pub fn max_tokens(&self) -> f64 {
         self.prompt_len + self.max_out
     }
 
     /// It in the units of a server's limit: reads at a reader, else tokens.
-    pub fn unit(&self, role: Role) -> f64 {
-        if role == Role::Reader { 1.0 } else { self.size() }
+    pub fn cost(&self, role: Role) -> f64 {
+        if role == Role::Reader { 1.0 } else { self.max_tokens() }
     }
 
     /// The texts that it begins with and their lengths in tokens: its session's and its beginning.
-    pub fn texts(&self) -> [(Option<u64>, f64); 2] {
+    pub fn cache_keys(&self) -> [(Option<u64>, f64); 2] {
         let number = |key: Option<Key>| key.map(|key| key.0);
         [(number(self.session), self.prompt_len), (number(self.prefix), self.prefix_len)]
     }
@@ -446,7 +448,7 @@
     /// A client's request.
     Request(Request),
     /// An answer began to stream.
-    First {
+    FirstToken {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -455,7 +457,7 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// The client left.
-    Gone(RequestId),
+    ClientLeft(RequestId),
     /// A timer fell due.
     Timer(TimerId),
     /// A probe ended, or an answer that began told its server's load.
@@ -468,9 +470,9 @@
         report: Option<Report>,
     },
     /// A server said something in an answer that goes on.
-    Heard(ServerId),
+    Activity(ServerId),
     /// What was held for a request is being let go of while an attempt is out that may never have arrived.
-    HoldReleased(RequestId),
+    LeaseReleased(RequestId),
 }
 
 /// What the router wants done.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -249,11 +249,11 @@
 
     fn believed(&self, ask: &Request, now: Time, home: bool) -> f64 {
         let home = if home { ask.prefix_len } else { 0.0 };
-        self.kept.longest((now - Time(0)).secs(), &ask.texts()).max(home)
+        self.kept.longest((now - Time(0)).secs(), &ask.cache_keys()).max(home)
     }
 
     fn learn(&mut self, ask: &Request, now: Time) {
-        self.kept.learn_all((now - Time(0)).secs(), &ask.texts());
+        self.kept.learn_all((now - Time(0)).secs(), &ask.cache_keys());
     }
 }
 
@@ -303,9 +303,9 @@
         match event {
             Event::Members(members) => self.follow_list(members, out),
             Event::Request(ask) => self.accept(ask, out),
-            Event::First { request, attempt } => self.first(request, attempt, out),
+            Event::FirstToken { request, attempt } => self.first(request, attempt, out),
             Event::Outcome(outcome) => self.outcome(outcome, out),
-            Event::Gone(request) => self.gone(request, out),
+            Event::ClientLeft(request) => self.gone(request, out),
             Event::Timer(TICK_TIMER) => self.tick(out),
             Event::Timer(LIST_TIMER) => out.push(Action::Subscribe),
             Event::Timer(_) => {}
@@ -313,8 +313,8 @@
                 self.met(server, if ok { Met::Answered } else { Met::Unanswered });
                 self.note_report(server, report.filter(|_| ok));
             }
-            Event::Heard(server) => self.heard(server),
-            Event::HoldReleased(request) => self.hold_released(request, out),
+            Event::Activity(server) => self.heard(server),
+            Event::LeaseReleased(request) => self.hold_released(request, out),
         }
     }
 
@@ -328,13 +328,13 @@
     }
 
     /// How many listed servers get nothing now: they drain, or were silent, unreachable or full of late.
-    pub fn avoided(&self, now: Time) -> usize {
+    pub fn excluded_servers(&self, now: Time) -> usize {
         let listed = self.servers.values().filter(|server| server.member.state != ServerState::Left);
         listed.filter(|server| !server.usable(now)).count()
     }
 
     /// The server that takes one more long-lived connection: of these the one with most room, as a writer's.
-    pub fn place(&mut self, now: Time, among: &[ServerId]) -> Option<ServerId> {
+    pub fn place_connection(&mut self, now: Time, among: &[ServerId]) -> Option<ServerId> {
         self.now = now;
         let reports = |role| self.servers.values().filter(move |s| s.role == role).map(|s| s.report);
         let means = [Role::Writer, Role::Mixed].map(|role| told::mean(self.secs(), reports(role)));
@@ -350,7 +350,7 @@
     }
 
     /// So many tokens more, or fewer, are out at a server for long-lived connections.
-    pub fn hold(&mut self, at: ServerId, tokens: f64) {
+    pub fn add_connection_load(&mut self, at: ServerId, tokens: f64) {
         if let Some(server) = self.servers.get_mut(&at) {
             server.used = (server.used + tokens).max(0.0);
         }
@@ -471,7 +471,7 @@
         let look = self.look();
         for (place, id) in self.waiting.iter().enumerate().skip(from) {
             let job = &self.jobs[id];
-            if !self.fits(false, look.out[1], job.ask.size()) {
+            if !self.fits(false, look.out[1], job.ask.max_tokens()) {
                 return None;
             }
             if !anew && job.awaits.get().is_some_and(|home| self.busy(home, job)) {
@@ -488,7 +488,7 @@
     fn busy(&self, at: ServerId, job: &Job) -> bool {
         self.servers.get(&at).filter(|server| server.usable(self.now)).is_some_and(|server| {
             let reads = server.role == Role::Reader;
-            let limit = self.limit(reads, self.start(server), job.ask.unit(server.role));
+            let limit = self.limit(reads, self.start(server), job.ask.cost(server.role));
             server.attempts > 0 && server.used >= limit
         })
     }
@@ -513,7 +513,7 @@
             *start += if server.usable(self.now) { self.start(server) } else { 0.0 };
         }
         let reading = self.jobs.values().filter(|job| job.stage == Stage::Reading);
-        outs[1].0 += reading.map(|job| job.ask.size()).sum::<f64>();
+        outs[1].0 += reading.map(|job| job.ask.max_tokens()).sum::<f64>();
         outs.map(|(used, start)| (used, start.max(1.0)))
     }
 
@@ -525,7 +525,7 @@
     /// The limit follows the answers: it grows while they are quick, and falls when they are late.
     fn adapt(&mut self, id: RequestId, at: ServerId, late: bool) {
         let (Some(job), Some(server)) = (self.jobs.get(&id), self.servers.get(&at)) else { return };
-        let (reads, one) = (server.role == Role::Reader, job.ask.unit(server.role));
+        let (reads, one) = (server.role == Role::Reader, job.ask.cost(server.role));
         let (used, start) = self.outs()[usize::from(!reads)];
         self.limits[usize::from(!reads)].answered(late, used, start, one);
     }
@@ -666,7 +666,7 @@
         let effect = self.settings.classes[job.ask.class.0].effect;
         let grouped = |first: ServerId| {
             let both = self.servers.get(&first).zip(self.servers.get(&id));
-            both.is_some_and(|(a, b)| effect.groups(&a.member, &b.member))
+            both.is_some_and(|(a, b)| effect.same_dedup_scope(&a.member, &b.member))
         };
         job.history.may_repeat(effect.repeat(), self.now.into(), grouped)
     }
@@ -694,7 +694,7 @@
         // Which writer matters only beside a mixed server, or where it may read.
         let writer = self.warm_writer(job, look).filter(|_| staged).or_else(|| self.best_writer(job, look));
         // Writers that read are the last resort, and few may: their answers stand still meanwhile.
-        let spare = || self.fits(false, look.out[1], UNREAD * job.ask.size());
+        let spare = || self.fits(false, look.out[1], UNREAD * job.ask.max_tokens());
         let unread = self.settings.writers_read && left >= 1 && spare();
         let (to, stage) = match (mixed, reader, writer) {
             (Some((m, kept)), Some((r, read)), Some((_, room))) => {
@@ -733,7 +733,7 @@
         }
         job.believed = server.believed(&job.ask, self.now, false);
         server.attempts += 1;
-        server.used += job.ask.unit(server.role);
+        server.used += job.ask.cost(server.role);
         job.unread = if stage == Stage::Reading { (job.ask.prompt_len - job.believed).max(0.0) } else { 0.0 };
         server.unread += job.unread;
         if stage == Stage::Reading {
@@ -820,7 +820,7 @@
         if let Some(trial) = server.trial.as_mut().filter(|trial| trial.probe == Some(id)) {
             trial.probe = None;
         }
-        server.used = (server.used - job.ask.unit(server.role)).max(0.0);
+        server.used = (server.used - job.ask.cost(server.role)).max(0.0);
         server.unread = (server.unread - job.unread).max(0.0);
         job.reads
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -118,7 +118,7 @@
     }
 
     pub fn first(&mut self, id: u64, attempt: u32) -> Vec<Action> {
-        self.hear(Event::First { request: RequestId(id), attempt: Attempt(attempt) })
+        self.hear(Event::FirstToken { request: RequestId(id), attempt: Attempt(attempt) })
     }
 }
 
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -133,7 +133,8 @@
                 Effect::Safe => true,
                 Effect::Unsafe => false,
                 Effect::Keyed(scope, window) => {
-                    now < ran.sent + window.0 && (scope == Scope::All || cell(server) == cell(ran.server))
+                    now < ran.sent + window.0
+                        && (scope == DedupScope::All || cell(server) == cell(ran.server))
                 }
             };
             assert!(fits, "run again at {server} although it may have run at {}", ran.server);
@@ -148,7 +149,7 @@
         for real in open.attempts.iter().filter(|real| real.may_have_run() || (real.written && real.out)) {
             let harmless = match self.effect {
                 Effect::Safe => true,
-                Effect::Keyed(Scope::All, window) => again < real.sent + window.0,
+                Effect::Keyed(DedupScope::All, window) => again < real.sent + window.0,
                 _ => false,
             };
             assert!(harmless, "refused although an attempt at {} may have run or be out", real.server);
@@ -195,7 +196,7 @@
                 let open = self.open.get_mut(&id).expect("open");
                 if !open.answered {
                     (open.left, open.answered) = (true, true);
-                    let actions = self.bench.hear(Event::Gone(RequestId(id)));
+                    let actions = self.bench.hear(Event::ClientLeft(RequestId(id)));
                     self.follow(actions);
                 }
             }
@@ -243,9 +244,9 @@
     prop_oneof![
         1 => Just(Effect::Safe),
         3 => Just(Effect::Unsafe),
-        2 => window().prop_map(|window| Effect::Keyed(Scope::All, window)),
-        1 => window().prop_map(|window| Effect::Keyed(Scope::Zone, window)),
-        1 => window().prop_map(|window| Effect::Keyed(Scope::Cell, window)),
+        2 => window().prop_map(|window| Effect::Keyed(DedupScope::All, window)),
+        1 => window().prop_map(|window| Effect::Keyed(DedupScope::Zone, window)),
+        1 => window().prop_map(|window| Effect::Keyed(DedupScope::Cell, window)),
     ]
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -44,7 +44,7 @@
 /// attempt that may have run.
 #[test]
 fn a_request_with_hardly_any_time_is_sent_nowhere_although_there_is_room() {
-    for effect in [Effect::Safe, Effect::Unsafe, Effect::Keyed(Scope::All, Span::from_millis(5_000))] {
+    for effect in [Effect::Safe, Effect::Unsafe, Effect::Keyed(DedupScope::All, Span::from_millis(5_000))] {
         for budget in [0, 1, 10, 50] {
             let mut bench = Bench::new(settings(effect), fleet());
             let done = bench.hear(Event::Request(Request {
@@ -108,7 +108,7 @@
 fn a_keyed_request_stays_in_its_group_and_window() {
     let window = Span::from_millis(2_000);
     let two_cells = || vec![member(1, 0, 0), member(11, 1, 0), member(12, 1, 1), member(13, 1, 0)];
-    let mut bench = Bench::new(settings(Effect::Keyed(Scope::Cell, window)), two_cells());
+    let mut bench = Bench::new(settings(Effect::Keyed(DedupScope::Cell, window)), two_cells());
     bench.ask(1, None);
     let first = sent_to(&bench.end(1, 0, Verdict::Read))[0];
     let second = sent_to(&bench.end(1, 1, Verdict::Error));
@@ -116,7 +116,7 @@
     let last = bench.end(1, 2, Verdict::Error);
     assert!(failed(&last) && sent_to(&last).is_empty() && released(&last));
 
-    let mut late = Bench::new(settings(Effect::Keyed(Scope::All, window)), two_cells());
+    let mut late = Bench::new(settings(Effect::Keyed(DedupScope::All, window)), two_cells());
     late.ask(1, None);
     late.end(1, 0, Verdict::Read);
     late.now += 2_500 * MS;
@@ -131,7 +131,7 @@
     for (spent, backoff, harmless) in
         [(500, 300, true), (1_500, 300, true), (1_800, 300, false), (1_800, 0, true)]
     {
-        let mut told = settings(Effect::Keyed(Scope::All, Span::from_millis(2_000)));
+        let mut told = settings(Effect::Keyed(DedupScope::All, Span::from_millis(2_000)));
         told.max_attempts = 2;
         told.max_backoff = Some(Span::from_millis(backoff));
         let mut bench = Bench::new(told, fleet());
@@ -147,7 +147,7 @@
 #[test]
 fn a_read_that_was_given_up_is_no_ground_for_a_refusal() {
     let keyed = |scope| Effect::Keyed(scope, Span::from_millis(2_000));
-    let once = [Effect::Unsafe, keyed(Scope::Zone), keyed(Scope::Cell)];
+    let once = [Effect::Unsafe, keyed(DedupScope::Zone), keyed(DedupScope::Cell)];
     for (effect, evidence, verdict) in once.into_iter().flat_map(|effect| {
         [
             (Evidence::Router, Verdict::Timeout),
@@ -194,7 +194,7 @@
 fn a_state_is_released_when_the_client_leaves() {
     let mut bench = Bench::new(settings(Effect::Safe), fleet());
     bench.ask(1, None);
-    let gone = bench.hear(Event::Gone(RequestId(1)));
+    let gone = bench.hear(Event::ClientLeft(RequestId(1)));
     assert_eq!(gone, vec![Action::Cancel { request: RequestId(1), attempt: Attempt(0) }]);
     assert_eq!(bench.end(1, 0, Verdict::Read), vec![Action::Release(RequestId(1))]);
 }
@@ -363,7 +363,7 @@
                 if let Some(out) = job.out {
                     orphans.insert(id, out);
                 }
-                acts = bench.hear(Event::Gone(RequestId(id)));
+                acts = bench.hear(Event::ClientLeft(RequestId(id)));
             }
             _ => {
                 bench.now += dice(60) * MS;
@@ -450,6 +450,6 @@
     for seed in 1..=6 {
         random_run(seed, Effect::Safe);
         random_run(seed, Effect::Unsafe);
-        random_run(seed, Effect::Keyed(Scope::All, Span::from_millis(5_000)));
+        random_run(seed, Effect::Keyed(DedupScope::All, Span::from_millis(5_000)));
     }
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -74,7 +74,7 @@
     assert!((1..20).contains(&swallowed.len()), "{swallowed:?}");
     let off = cancelled(&bench.log);
     assert!(swallowed.iter().all(|id| off.contains(id)), "{off:?} of {swallowed:?}");
-    assert_eq!(bench.router.avoided(Time(bench.now)), 1);
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
 }
 
 #[test]
@@ -128,13 +128,13 @@
         let mut bench = bench(Effect::Safe);
         (100..115).for_each(|id| assert!(read(&mut bench, id).is_some()));
         bench.wait(140);
-        [12, 13].into_iter().for_each(|peer| drop(bench.hear(Event::Heard(ServerId(peer)))));
+        [12, 13].into_iter().for_each(|peer| drop(bench.hear(Event::Activity(ServerId(peer)))));
         bench.wait(100);
-        assert_eq!(bench.router.avoided(Time(bench.now)), 1);
+        assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
         bench.wait(after_cut_ms);
         assert!(read(&mut bench, 1_000).is_some());
         bench.wait(240);
-        bench.router.avoided(Time(bench.now)) - 1
+        bench.router.excluded_servers(Time(bench.now)) - 1
     };
     assert_eq!(peers_found(0), 1);
     assert_eq!(peers_found(1_100), 0, "long after the cut it may be a long one");
@@ -145,21 +145,21 @@
     let mut bench = bench(Effect::Safe);
     for id in 100..160 {
         read(&mut bench, id);
-        bench.hear(Event::Heard(ServerId(11)));
-        bench.hear(Event::Heard(ServerId(12)));
-        bench.hear(Event::Heard(ServerId(13)));
+        bench.hear(Event::Activity(ServerId(11)));
+        bench.hear(Event::Activity(ServerId(12)));
+        bench.hear(Event::Activity(ServerId(13)));
         bench.wait(20);
     }
-    assert!(cancelled(&bench.log).is_empty() && bench.router.avoided(Time(bench.now)) == 0);
+    assert!(cancelled(&bench.log).is_empty() && bench.router.excluded_servers(Time(bench.now)) == 0);
 }
 
 #[test]
 fn one_word_ends_a_trial() {
     let mut bench = bench(Effect::Safe);
     ask_while_silent(&mut bench, 100, 600, &[11]);
-    assert_eq!(bench.router.avoided(Time(bench.now)), 1);
-    bench.hear(Event::Heard(ServerId(11)));
-    assert_eq!(bench.router.avoided(Time(bench.now)), 0);
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
+    bench.hear(Event::Activity(ServerId(11)));
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 0);
 }
 
 #[test]
@@ -180,7 +180,7 @@
     }
     let off = cancelled(&bench.log);
     assert!(off.iter().all(|id| *id < 200), "only until it is known: {off:?}");
-    assert_eq!(bench.router.avoided(Time(bench.now)), 0);
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 0);
 }
 
 #[test]
@@ -200,7 +200,7 @@
     let mut bench = bench(Effect::Safe);
     let writer = read(&mut bench, 100).expect("a writer");
     bench.wait(500);
-    let acts = bench.hear(Event::HoldReleased(RequestId(100)));
+    let acts = bench.hear(Event::LeaseReleased(RequestId(100)));
     assert_eq!(cancelled(&acts), [100], "nothing was heard of it");
     let next = sent_to(&bench.end(100, 1, Verdict::Cancelled));
     assert!(next == [1] || next == [2], "{next:?}");
@@ -217,7 +217,7 @@
     bench.end(100, 2, Verdict::NoRoute);
     let acts = bench.end(101, 1, Verdict::NoRoute);
     assert!(!refused(&acts) && sent_to(&acts).is_empty() && released(&acts), "{acts:?}");
-    bench.hear(Event::Heard(ServerId(second)));
+    bench.hear(Event::Activity(ServerId(second)));
     let acts = bench.wait(60);
     let read_again = |act: &Action| matches!(act, Action::Send { request: RequestId(101), .. });
     assert!(acts.iter().any(read_again), "{acts:?}");
@@ -231,11 +231,13 @@
         (100..115).for_each(|id| assert!(read(&mut bench, id).is_some()));
         bench.wait(140);
         let peers_talk = |bench: &mut Bench| {
-            [12, 13].into_iter().for_each(|peer| assert!(bench.hear(Event::Heard(ServerId(peer))).is_empty()))
+            [12, 13]
+                .into_iter()
+                .for_each(|peer| assert!(bench.hear(Event::Activity(ServerId(peer))).is_empty()))
         };
         peers_talk(&mut bench);
         bench.wait(100);
-        assert_eq!(bench.router.avoided(Time(bench.now)), 1);
+        assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
         if heard {
             peers_talk(&mut bench);
         }
@@ -261,10 +263,10 @@
     let owed = (200..215).filter(|id| read(&mut bench, *id) == Some(11)).count();
     assert!(streams.len() > 13 && owed >= 3, "{streams:?}, {owed} calls");
     for left in streams.into_iter().take(13) {
-        [12, 13].into_iter().for_each(|peer| drop(bench.hear(Event::Heard(ServerId(peer)))));
-        bench.hear(Event::Gone(RequestId(left)));
+        [12, 13].into_iter().for_each(|peer| drop(bench.hear(Event::Activity(ServerId(peer)))));
+        bench.hear(Event::ClientLeft(RequestId(left)));
         bench.end(left, 1, Verdict::Ok);
         bench.wait(20);
     }
-    assert_eq!(bench.router.avoided(Time(bench.now)), 1);
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
 }
--- a/tests/symptoms.rs
+++ b/tests/symptoms.rs
@@ -418,7 +418,7 @@
             class: ClassId(0),
             tenant: Some(TenantId(9)),
         }));
-        bench.hear(Event::Gone(RequestId(99)));
+        bench.hear(Event::ClientLeft(RequestId(99)));
         bench.first(99, 0);
         bench.end(99, 0, Verdict::Ok);
         bench.end(1, 7, Verdict::Read);
@@ -512,22 +512,23 @@
     let mut bench =
         Bench::new(settings(Effect::Safe), vec![member(1, 0, 0), member(11, 1, 0), member(12, 1, 0)]);
     let both = [ServerId(11), ServerId(12)];
-    let place = |bench: &mut Bench| bench.router.place(Time(bench.now), &both).map(|server| server.0);
+    let place =
+        |bench: &mut Bench| bench.router.place_connection(Time(bench.now), &both).map(|server| server.0);
     let first = place(&mut bench).unwrap();
     let other = 23 - first;
-    bench.router.hold(ServerId(first), 40_000.0);
+    bench.router.add_connection_load(ServerId(first), 40_000.0);
     assert_eq!(place(&mut bench), Some(other));
     bench.ask(1, None);
     assert_eq!(sent_to(&bench.end(1, 0, Verdict::Read)), [other]);
     // They go: more than there was is never taken off.
-    bench.router.hold(ServerId(first), -50_000.0);
-    bench.router.hold(ServerId(other), 10_000.0);
+    bench.router.add_connection_load(ServerId(first), -50_000.0);
+    bench.router.add_connection_load(ServerId(other), 10_000.0);
     assert_eq!(place(&mut bench), Some(first));
     let mut leaving = member(first, 1, 0);
     leaving.state = ServerState::Leaving;
     bench.hear(Event::Members(Members::Changes(vec![leaving])));
     assert_eq!(place(&mut bench), Some(other));
-    assert_eq!(bench.router.place(Time(bench.now), &[ServerId(first), ServerId(99)]), None);
+    assert_eq!(bench.router.place_connection(Time(bench.now), &[ServerId(first), ServerId(99)]), None);
 }
 
 /// A line in which one has waited long serves whoever came last: those at its end would be late, and so would all behind
@@ -541,7 +542,7 @@
             reading += 1;
         }
         // The last one asked waits already; it leaves, so that the two that follow are alone in line.
-        bench.hear(Event::Gone(RequestId(reading + 1)));
+        bench.hear(Event::ClientLeft(RequestId(reading + 1)));
         bench.ask(100, None);
         bench.now += waits * MS;
         assert_eq!(sent_to(&bench.ask(101, None)), Vec::<u64>::new());
@@ -575,15 +576,15 @@
     let mut bench = Bench::new(settings(Effect::Safe), fleet());
     let home = sent_to(&bench.ask(1, Some(5)))[0];
     bench.now += 10 * MS;
-    bench.hear(Event::Gone(RequestId(1)));
+    bench.hear(Event::ClientLeft(RequestId(1)));
     bench.end(1, 0, Verdict::Cancelled);
-    assert_eq!(bench.router.avoided(Time(bench.now)), 0);
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 0);
     assert_eq!(sent_to(&bench.ask(2, Some(5))), [home]);
     // One that waited in vain for long does.
     bench.now += 4_000 * MS;
-    bench.hear(Event::Gone(RequestId(2)));
+    bench.hear(Event::ClientLeft(RequestId(2)));
     bench.end(2, 0, Verdict::Cancelled);
-    assert_eq!(bench.router.avoided(Time(bench.now)), 1);
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
 }
 
 /// A state that had to be let go is read anew, or refused; it is never sent on.
@@ -595,7 +596,7 @@
     let acts = bench.end(1, 1, Verdict::Expired);
     assert!(released(&acts) && !failed(&acts) && !refused(&acts));
     assert!(sent_to(&acts).iter().all(|to| *to < 10), "to a reader: {acts:?}");
-    assert_eq!(bench.router.avoided(Time(bench.now)), 0, "its connection had no time to come up");
+    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 0, "its connection had no time to come up");
 }
 
 /// Guards against a line that takes the router's processor: an event with 200 in line costs some times what it costs
@@ -611,7 +612,7 @@
         let start = std::time::Instant::now();
         for id in from..from + 50 {
             bench.ask(id, Some(id % 7));
-            bench.hear(Event::Gone(RequestId(id)));
+            bench.hear(Event::ClientLeft(RequestId(id)));
         }
         start.elapsed()
     };
