--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -5,7 +5,7 @@
 use fields::Fields;
 use serde_json::{Value, json};
 use shedrelay::*;
-use shedrelay_settings::{Names, Wire};
+use shedrelay_settings::{Names, RawSettings};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -106,9 +106,9 @@
         let name = fields.text("i")?;
         if fields.event() == "hello" {
             let seed = fields.whole("nonce64")?;
-            let wire: Wire = serde_json::from_value(fields.any("settings")?)
+            let raw: RawSettings = serde_json::from_value(fields.any("settings")?)
                 .map_err(|error| fields.wrong("settings", error.to_string()))?;
-            let (settings, names) = wire.translate().map_err(|error| fields.wrong("settings", error))?;
+            let (settings, names) = raw.into_settings().map_err(|error| fields.wrong("settings", error))?;
             let router =
                 Router::new(settings, seed).map_err(|error| fields.wrong("settings", error.to_string()))?;
             self.instances.insert(name, Instance { router, names });
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -11,7 +11,7 @@
 use arguments::Arguments;
 use serde::Deserialize;
 use shedrelay::Settings;
-use shedrelay_settings::{Links, Names, Wire};
+use shedrelay_settings::{ConnectionSettings, Names, RawSettings};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
     #[serde(default)]
     limits: Limits,
     known: Option<list::Wire>,
-    settings: Wire,
+    settings: RawSettings,
 }
 
 #[derive(Deserialize)]
@@ -119,7 +119,7 @@
     /// Names used on the wire.
     pub names: Names,
     /// What is told of connections.
-    pub links: Links,
+    pub links: ConnectionSettings,
     /// The second front, where it is wanted.
     pub openai: Option<openai::OpenAi>,
     /// The list's source, where it is not discovery.
@@ -171,8 +171,8 @@
             return Err(wrong(format!("limits.memory_mb: {told} is under {least}")));
         }
         let client_sockets = ((sockets - SPARE_SOCKETS) as f64 * CLIENT_PART) as usize;
-        let links = file.settings.links();
-        let (settings, names) = file.settings.translate().map_err(|e| wrong(format!("settings: {e}")))?;
+        let links = file.settings.connection_settings();
+        let (settings, names) = file.settings.into_settings().map_err(|e| wrong(format!("settings: {e}")))?;
         settings.check().map_err(|error| wrong(error.to_string()))?;
         let mut server_sockets = sockets - SPARE_SOCKETS - client_sockets;
         let mut body_bytes = (memory_mb * BODY_PART) as usize;
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -60,7 +60,7 @@
 const AT_ONCE: Duration = Duration::from_millis(100);
 
 /// The close of a connection has arrived at its server within this time, where nothing is cut off.
-pub fn close_arrives_within(links: shedrelay_settings::Links) -> Duration {
+pub fn close_arrives_within(links: shedrelay_settings::ConnectionSettings) -> Duration {
     closing::arrives_within(Duration::from_nanos(links.connect.0))
 }
 
@@ -78,7 +78,7 @@
     /// With so many connections at most.
     pub fn new(
         core: Rc<Core>,
-        links: shedrelay_settings::Links,
+        links: shedrelay_settings::ConnectionSettings,
         sockets: usize,
         terms: Terms,
         handover: Rc<Handover>,
--- a/router/src/servers/link.rs
+++ b/router/src/servers/link.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use fawnstream_attempts::decisions::{BeginFacts, NotBegun, SignOfLife, may_begin};
 use fawnstream_attempts::delivery::Delivery;
-use shedrelay_settings::Links;
+use shedrelay_settings::ConnectionSettings;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -527,7 +527,7 @@
     }
 }
 
-fn longest_idle(links: Links) -> Duration {
+fn longest_idle(links: ConnectionSettings) -> Duration {
     Duration::from_nanos(links.idle.0).mul_f64(IDLE_PART)
 }
 
@@ -622,7 +622,7 @@
     most: usize,
     /// So many of these are kept back for releases.
     kept_back: usize,
-    links: Links,
+    links: ConnectionSettings,
     strikes: Cell<f64>,
     trust: Cell<Duration>,
     dispatches: Rc<Cell<u64>>,
@@ -630,7 +630,12 @@
 
 impl Pool {
     /// With so many connections at most, and so many of these kept back; counts the attempts written whole.
-    pub fn new(links: Links, most: usize, kept_back: usize, dispatches: Rc<Cell<u64>>) -> Rc<Self> {
+    pub fn new(
+        links: ConnectionSettings,
+        most: usize,
+        kept_back: usize,
+        dispatches: Rc<Cell<u64>>,
+    ) -> Rc<Self> {
         let (strikes, trust) = (Cell::new(0.0), Cell::new(longest_idle(links)));
         Rc::new(Pool {
             idle: RefCell::default(),
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -113,13 +113,13 @@
     }
 }
 
-type Parts = (shedrelay::Settings, shedrelay_settings::Names, shedrelay_settings::Links);
+type Parts = (shedrelay::Settings, shedrelay_settings::Names, shedrelay_settings::ConnectionSettings);
 
 fn parts(size: &Size, router: usize) -> Result<Parts, HollowError> {
-    let wire: shedrelay_settings::Wire = serde_json::from_value(settings(size, router))
+    let wire: shedrelay_settings::RawSettings = serde_json::from_value(settings(size, router))
         .map_err(|error| HollowError::Settings(error.to_string()))?;
-    let links = wire.links();
-    let (settings, names) = wire.translate().map_err(HollowError::Settings)?;
+    let links = wire.connection_settings();
+    let (settings, names) = wire.into_settings().map_err(HollowError::Settings)?;
     Ok((settings, names, links))
 }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -20,7 +20,7 @@
 
 /// What the settings say of connections.
 #[derive(Clone, Copy)]
-pub struct Links {
+pub struct ConnectionSettings {
     /// Servers close a connection idle for so long, at the latest.
     pub idle: Span,
     /// A connection that is not up by then has failed.
@@ -35,20 +35,20 @@
 
 /// The settings object.
 #[derive(Deserialize)]
-pub struct Wire {
+pub struct RawSettings {
     balancers: u32,
     ceilings: Ceilings,
-    classes: Vec<WireClass>,
+    classes: Vec<RawClass>,
     extra: Extra,
     kinds: Vec<String>,
     #[serde(default)]
     over_share_worth: f64,
     registry_mode: String,
-    rules: WireRules,
+    rules: RawRules,
     self_index: u32,
     telemetry: Telemetry,
     #[serde(default)]
-    tenants: Vec<WireTenant>,
+    tenants: Vec<RawTenant>,
     #[serde(default)]
     zones: Vec<String>,
 }
@@ -69,7 +69,7 @@
 }
 
 #[derive(Deserialize)]
-struct WireClass {
+struct RawClass {
     aim: u64,
     give_up: Option<u64>,
     #[serde(default)]
@@ -95,7 +95,7 @@
 }
 
 #[derive(Deserialize)]
-struct WireRules {
+struct RawRules {
     cold: u64,
     cold_share: f64,
     /// Where none is told, nothing is sent any more.
@@ -113,7 +113,7 @@
 }
 
 #[derive(Deserialize)]
-struct WireTenant {
+struct RawTenant {
     name: String,
     quota_per_s: f64,
 }
@@ -130,8 +130,8 @@
     250_000_000
 }
 
-impl WireClass {
-    fn translate(&self, stretch_us: f64) -> Result<Class, String> {
+impl RawClass {
+    fn to_class(&self, stretch_us: f64) -> Result<Class, String> {
         let effect = match self.effect.as_str() {
             "pure" => Effect::Safe,
             "side_effect" => Effect::Unsafe,
@@ -151,10 +151,10 @@
     }
 }
 
-impl Wire {
+impl RawSettings {
     /// What is told of connections to servers.
-    pub fn links(&self) -> Links {
-        Links {
+    pub fn connection_settings(&self) -> ConnectionSettings {
+        ConnectionSettings {
             idle: Span(self.ceilings.conn_idle),
             connect: Span(self.ceilings.connect_timeout),
             drain_grace: Span(self.rules.drain_grace),
@@ -164,14 +164,14 @@
     }
 
     /// The module's settings, and the names that events will use.
-    pub fn translate(self) -> Result<(Settings, Names), String> {
+    pub fn into_settings(self) -> Result<(Settings, Names), String> {
         let stretch =
             |place: usize| self.extra.aim_us_per_1000_prompt_tokens.get(place).copied().unwrap_or(0.0);
         let classes = self
             .classes
             .iter()
             .enumerate()
-            .map(|(place, class)| class.translate(stretch(place)))
+            .map(|(place, class)| class.to_class(stretch(place)))
             .collect::<Result<_, _>>()?;
         if self.extra.duty_by_kind.len() != self.kinds.len() {
             return Err("extra.duty_by_kind: must have one value for each of kinds".to_owned());
