--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,4 @@
-//! What goes into a [`Router`](crate::Router) and what comes out: settings, events and actions.
-//! Plain types only; no decision is taken here.
+//! Inputs and outputs of a [`Router`](crate::Router): settings, events and actions. Plain types without decisions.
 
 use fawnstream_attempts::Repeat;
 pub use fawnstream_attempts::{Evidence, Proof};
@@ -10,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A length of time in nanoseconds.
+/// A duration in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
@@ -25,7 +24,7 @@
         self.0 as f64 / 1e9
     }
 
-    /// The span times a factor; negative and undefined results become zero.
+    /// The span times a factor; a negative or NaN result becomes zero.
     pub fn times(self, factor: f64) -> Self {
         Span((self.0 as f64 * factor) as u64)
     }
@@ -38,7 +37,7 @@
 }
 
 impl From<Time> for Duration {
-    /// Since the zero of the caller's clock.
+    /// Time since the zero of the caller's clock.
     fn from(time: Time) -> Self {
         Duration::from_nanos(time.0)
     }
@@ -78,31 +77,31 @@
     }
 }
 
-/// A server; the same number for the same server at every router.
+/// A server's number, the same at every router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// A request; never used twice in a router's life.
+/// A request's number, never reused by a router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A session, or a beginning that several sessions share.
+/// Identifies a session, or a prompt prefix that several sessions share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
-/// The place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassId(pub usize);
 
-/// The place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// The place of a machine kind in [`Settings::kinds`].
+/// Index of a machine kind in [`Settings::kinds`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KindId(pub usize);
 
-/// A zone, as the caller numbers them.
+/// A zone's number, assigned by the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneId(pub usize);
 
@@ -110,15 +109,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
 
-/// The number of an attempt of one request, from 0.
+/// An attempt's number within its request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt(pub u32);
 
-/// A timer's number, chosen by the router.
+/// A timer's number, assigned by the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(pub u64);
 
-/// What a kind of machine does.
+/// What servers of a machine kind do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Reads prompts (prefill).
@@ -126,43 +125,43 @@
     Reader,
     /// Writes answers (decode).
     Writer,
-    /// Does both.
+    /// Reads prompts and writes answers.
     Mixed,
 }
 
 /// A machine kind.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// What it does.
+    /// Role of its servers.
     pub role: Role,
-    /// Its KV-cache memory in tokens; `None` where it is not told.
+    /// KV-cache memory in tokens; `None` if unknown.
     pub memory_tokens: Option<f64>,
 }
 
-/// Which servers drop repeats of a keyed request.
+/// Which servers share the memory of idempotency keys by which repeats are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// What running a request twice would do.
+/// Effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated.
+    /// None: it may be repeated.
     Safe,
-    /// Repeats are dropped inside the scope for so long after the first send.
+    /// It has an idempotency key: servers in the scope drop repeats for this time after the first send.
     Keyed(DedupScope, Span),
     /// It must never run twice.
     Unsafe,
 }
 
 impl Effect {
-    /// Whether two servers drop each other's repeats of such a request, where any do.
+    /// Whether two servers drop each other's repeats of such a request, if any servers do.
     pub fn same_dedup_scope(self, a: &Member, b: &Member) -> bool {
         match self {
             Effect::Keyed(DedupScope::Zone, _) => a.zone == b.zone,
@@ -171,7 +170,7 @@
         }
     }
 
-    /// What repeats of such a request do.
+    /// Translates it to the rules for repeats.
     pub fn repeat(self) -> Repeat {
         match self {
             Effect::Safe => Repeat::Harmless,
@@ -187,82 +186,82 @@
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// The first token is wanted within this time.
+    /// Target time to the first token.
     pub aim: Span,
-    /// Added to the aim for each 1,000 prompt tokens.
+    /// Added to the aim per 1,000 prompt tokens.
     pub aim_per_1000: Span,
-    /// Worth of one request, or of one unit of its work.
+    /// Worth of a request, by which queued requests are ordered.
     pub worth: f64,
-    /// What repeats do.
+    /// Effect of running a request twice.
     pub effect: Effect,
 }
 
-/// A customer.
+/// A customer of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all routers.
+    /// Requests per second in its quota, over all routers.
     pub quota_per_s: f64,
 }
 
-/// Figures of the rules.
+/// Limits for cold servers: what servers can take after their start.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A fresh server starts at this share of its capacity or more.
+    /// Least share of its capacity that a server has at its start.
     pub cold_share: f64,
-    /// It is warm after this time.
+    /// Time after its start until it is warm, with its whole capacity.
     pub cold: Span,
-    /// It falls over when sent more than this multiple of what it can do ...
+    /// Multiple of its current capacity that overloads a server if sent for the time `fall`.
     pub fall_multiple: f64,
-    /// ... for this long.
+    /// Time over which the sends to a server are counted for `fall_multiple`.
     pub fall: Span,
 }
 
-/// What a router is told at its start.
+/// Configuration of a router, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: u32,
-    /// This router's own number among them, from 0.
+    /// Index of this router among them, from 0.
     pub router: u32,
-    /// Attempts allowed for one request.
+    /// Maximum attempts per request.
     pub max_attempts: u32,
-    /// Waiting attempts may be cancelled.
+    /// Whether attempts that have not answered yet may be cancelled.
     pub may_cancel: bool,
-    /// Load reports come with probes.
+    /// Whether answers to probes carry load reports.
     pub probed_reports: bool,
-    /// Refusals may advise the client to stay away for up to this long.
+    /// Maximum retry delay advised in a refusal; `None` to advise none.
     pub max_backoff: Option<Span>,
-    /// The list of servers must be asked for.
+    /// Whether the router must subscribe to the list of servers.
     pub list_on_request: bool,
-    /// A writer without a state reads the prompt itself.
+    /// Whether a writer without a state reads the prompt itself.
     pub writers_read: bool,
-    /// Worth of a request beyond its tenant's share, as a share of the usual.
+    /// Factor on the worth of a request beyond its tenant's quota.
     pub over_share_worth: f64,
-    /// Figures of the rules.
+    /// Limits for cold servers: what servers can take after their start.
     pub rules: Rules,
     /// Machine kinds.
     pub kinds: Vec<Kind>,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Customers; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
 }
 
-/// Settings a router cannot work with.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A field has a value outside its range.
+    /// A field's value is out of range.
     #[error("settings: {field}: {problem}")]
     Field {
         /// The field's name.
         field: &'static str,
-        /// What is wrong with it.
+        /// The range it must be in.
         problem: &'static str,
     },
 }
 
 impl Settings {
-    /// Checks that a router can work with them.
+    /// Checks that all values are in range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let wrong = |field, problem| Err(SettingsError::Field { field, problem });
         let share = self.rules.cold_share;
@@ -285,15 +284,15 @@
     }
 }
 
-/// Whether a listed server takes new work.
+/// A listed server's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// Takes new requests.
     #[default]
     Active,
-    /// It finishes what it has.
+    /// Drains: finishes its requests and takes no new ones.
     Leaving,
-    /// It was removed.
+    /// Removed.
     Left,
 }
 
@@ -302,7 +301,7 @@
 pub struct Member {
     /// The server.
     pub server: ServerId,
-    /// Whether it takes work.
+    /// Its state.
     pub state: ServerState,
     /// Its machine kind.
     pub kind: KindId,
@@ -310,56 +309,56 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if long ago.
     pub up_since: Option<Time>,
 }
 
-/// News of the list of servers.
+/// An update of the list of servers.
 #[derive(Clone, Debug)]
 pub enum Members {
-    /// The whole list; what it leaves out is gone.
+    /// A snapshot of the list; servers that it leaves out are removed.
     Full(Vec<Member>),
-    /// Changed entries.
+    /// The changed entries.
     Changes(Vec<Member>),
-    /// A call for the list failed; the old list stands.
+    /// A call for the list failed; the last known list stays in use.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Its number.
     pub id: RequestId,
-    /// Its session; `None` for a request of no session.
+    /// Its session, if any.
     pub session: Option<Key>,
-    /// The beginning it shares with other sessions.
+    /// The prompt prefix that it shares with other sessions, if any.
     pub prefix: Option<Key>,
-    /// Length of that beginning in tokens.
+    /// Length of that prefix in tokens.
     pub prefix_len: f64,
     /// Length of the prompt in tokens.
     pub prompt_len: f64,
-    /// Most tokens the answer may have.
+    /// Maximum tokens of the answer.
     pub max_out: f64,
     /// Time left until the client gives up.
     pub budget: Span,
     /// Its class.
     pub class: ClassId,
-    /// Its customer.
+    /// Its tenant, if known.
     pub tenant: Option<TenantId>,
 }
 
 impl Request {
-    /// Tokens that its answer's place will hold; the told maximum stands in for the answer's length.
+    /// Tokens of prompt and answer; the answer's length is not known ahead, so its maximum counts.
     pub fn max_tokens(&self) -> f64 {
         self.prompt_len + self.max_out
     }
 
-    /// It in the units of a server's limit: reads at a reader, else tokens.
+    /// Its part of a server's limit, which counts reads at a reader and tokens elsewhere.
     pub fn cost(&self, role: Role) -> f64 {
         if role == Role::Reader { 1.0 } else { self.max_tokens() }
     }
 
-    /// The texts that it begins with and their lengths in tokens: its session's and its beginning.
+    /// Keys for the prefix cache with lengths in tokens: the session's whole prompt and the shared prefix.
     pub fn cache_keys(&self) -> [(Option<u64>, f64); 2] {
         let number = |key: Option<Key>| key.map(|key| key.0);
         [(number(self.session), self.prompt_len), (number(self.prefix), self.prefix_len)]
@@ -369,42 +368,42 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Served.
+    /// Answered to the end.
     Ok,
-    /// The prompt is read; the state waits at the reader.
+    /// The prompt was read; the reader holds the state.
     Read,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// An answer began and could not be read: it has run, and took the state with it.
+    /// An answer began but could not be read; the request has run and the state is used up.
     Spoilt,
-    /// Turned away; it never ran.
+    /// Rejected by a full server; it never ran.
     Full,
-    /// Turned away for want of a state to fetch; it never ran.
+    /// Rejected because there was no state to fetch; it never ran.
     NoState,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; it never ran.
     NoRoute,
-    /// No connection, for the server's machine refused it; it never ran.
+    /// The server's machine refused the connection; it never ran.
     Refused,
     /// The connection broke; it may have run.
     Reset,
-    /// The server ended the connection in order, without a word: it may have run, and nothing speaks against the
-    /// server, which ends so what it cannot read.
+    /// The server closed the connection cleanly without an answer, as servers do on requests that they cannot
+    /// parse; it may have run, and is no fault of the server.
     Closed,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     Moot,
-    /// What was held for it had to be let go before its connection came up; it never ran.
+    /// Its state had to be released before the connection was up; it never ran.
     Expired,
-    /// Its server's process did not show in time that it runs, and a repeat must not wait for a process that stands
-    /// still: it was never sent.
+    /// Never sent: the server's process gave no sign of life in time, and a retry must not wait for a stalled
+    /// process.
     NoSignOfLife,
 }
 
 impl Verdict {
-    /// What an attempt that ended so proves of its server, which only reads or not.
+    /// What an attempt with this end proves; `reads` if it was only a read.
     pub fn proof(self, reads: bool, evidence: Evidence) -> Proof {
         use Verdict::{Expired, Full, Moot, NoRoute, NoSignOfLife, NoState, Read, Refused};
         match self {
@@ -417,7 +416,7 @@
 /// A server's report of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// Share of its memory that is held.
+    /// Share of its memory in use.
     pub memory_share: f64,
 }
 
@@ -430,20 +429,20 @@
     pub attempt: Attempt,
     /// How it ended.
     pub verdict: Verdict,
-    /// How that is known.
+    /// Whether the server or the router itself determined the end.
     pub evidence: Evidence,
-    /// The request has its final answer.
+    /// Whether the client has its final answer.
     pub settled: bool,
-    /// Prompt tokens found kept (with `Ok` and `Read`).
+    /// Prompt tokens found in the server's prefix cache (with `Ok` and `Read`).
     pub kept: Option<f64>,
-    /// The server's report, if one came.
+    /// The server's report, if any.
     pub report: Option<Report>,
 }
 
-/// What the router hears.
+/// An input of the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of servers, or changes of it.
+    /// An update of the list of servers.
     Members(Members),
     /// A client's request.
     Request(Request),
@@ -458,62 +457,62 @@
     Outcome(Outcome),
     /// The client left.
     ClientLeft(RequestId),
-    /// A timer fell due.
+    /// A timer expired.
     Timer(TimerId),
-    /// A probe ended, or an answer that began told its server's load.
+    /// A probe ended, or an answer carried a load report at its beginning.
     Probed {
         /// The server.
         server: ServerId,
         /// Whether it answered.
         ok: bool,
-        /// Its report, if one came.
+        /// Its report, if any.
         report: Option<Report>,
     },
-    /// A server said something in an answer that goes on.
+    /// A server sent more of an answer: a sign of life.
     Activity(ServerId),
-    /// What was held for a request is being let go of while an attempt is out that may never have arrived.
+    /// A request's state is being released while an attempt is in flight that may never have arrived.
     LeaseReleased(RequestId),
 }
 
-/// What the router wants done.
+/// An output of the router, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a server.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server.
         server: ServerId,
-        /// Time-out of the attempt; `None`: until the client gives up.
+        /// Timeout of the attempt; `None` to wait until the client's deadline.
         timeout: Option<Span>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: Attempt,
     },
-    /// Final answer: refused, a further try is harmless.
+    /// Final answer: refused; the client may safely retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// Delay that the client should wait before a retry.
         backoff: Option<Span>,
     },
     /// Final answer: failed.
     Fail(RequestId),
-    /// Let go of every state held for the request.
+    /// Release every state held for the request.
     Release(RequestId),
-    /// Wake the router after a time.
+    /// Start a timer.
     Timer {
-        /// Its number.
+        /// The timer.
         timer: TimerId,
-        /// From now.
+        /// Time from now.
         after: Span,
     },
-    /// Ask a server for its report.
+    /// Ask a server for its load report.
     Probe(ServerId),
-    /// Ask that changes of the list be delivered.
+    /// Subscribe to changes of the list of servers.
     Subscribe,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,20 +1,22 @@
-//! Routing decisions for a language-model service whose prompts are read and answers written by
-//! different servers.
+//! Routing decisions for a language-model service where different servers read prompts (prefill) and write answers
+//! (decode).
 //!
-//! A router embeds one [`Router`]. It hands in every [`Event`] with the time of its clock, and carries out the
-//! [`Action`]s that come back, in their order. The library has no clock, no I/O and no threads.
+//! A program embeds one [`Router`], passes in each [`Event`] with the time of its own clock, and carries out the
+//! returned [`Action`]s in order. The library has no clock, no I/O and no threads.
 //!
-//! What the caller owes: events in the order in which they happened; one [`Outcome`] for each [`Action::Send`],
-//! a time-out at the client's deadline included; the [`Event::Timer`] of each [`Action::Timer`] at or after its
-//! time; attempts numbered from 0 for each request, in the order of its sends; the list of servers before the first
-//! request; a clock that never goes back. What it gets: one final answer for each request, by
-//! [`Action::Refuse`], [`Action::Fail`] or an outcome that is `settled`.
+//! The caller must provide:
+//! - events in the order in which they happened, with a clock that never goes back;
+//! - the list of servers before the first request;
+//! - one [`Outcome`] for each [`Action::Send`], a timeout at the client's deadline included; attempts of a request are
+//!   numbered from 0 in the order of its sends;
+//! - the [`Event::Timer`] for each [`Action::Timer`], at or after its time.
 //!
-//! [`Settings::routers`] divides what all routers do together: limits, turns at cold servers, tenants' shares.
-//! [`Settings::router`] is this router's place among those turns; each router needs its own, or several take the
-//! same turn. A number told too low lets the routers send too much together, one too high too little. Neither can
-//! change in a router's life: start a new [`Router`]. Clocks of the routers must agree with
-//! [`Member::up_since`] to well under the time in which a cold server falls over.
+//! It gets one final answer for each request: [`Action::Refuse`], [`Action::Fail`], or an outcome that is `settled`.
+//!
+//! [`Settings::routers`] divides what all routers share: limits, budgets for cold servers, and tenants' quotas. If it
+//! is too small, the routers together send too much; if too large, too little. [`Settings::router`] is this router's
+//! index and must be unique. Neither can change at run time: start a new [`Router`]. The routers' clocks must agree
+//! with [`Member::up_since`] to well under the time in which a cold server is overloaded ([`Rules::fall`]).
 //!
 //! ```
 //! use shedrelay::*;
