--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,16 +1,16 @@
-//! The settings object that a router is told, by the simulator's first message or in its configuration.
-//! Keys that are not named here are ignored.
+//! The JSON settings object of a router, from its configuration file or the simulator's first message. Unknown keys
+//! are ignored.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use serde::Deserialize;
 use shedrelay::*;
 
-/// Names that events use, in the settings' order.
+/// Names used in events; each name's index is its id in [`Settings`].
 pub struct Names {
     /// Request classes.
     pub classes: Vec<String>,
-    /// Customers.
+    /// Tenants.
     pub tenants: Vec<String>,
     /// Machine kinds.
     pub kinds: Vec<String>,
@@ -18,22 +18,22 @@
     pub zones: Vec<String>,
 }
 
-/// What the settings say of connections.
+/// Timeouts of connections to servers and of what servers hold.
 #[derive(Clone, Copy)]
 pub struct ConnectionSettings {
-    /// Servers close a connection idle for so long, at the latest.
+    /// Idle time after which servers close a connection, at the latest.
     pub idle: Span,
-    /// A connection that is not up by then has failed.
+    /// Connect timeout.
     pub connect: Span,
-    /// So long after a router was told that a server drains, what it sends there has to have stopped.
+    /// Time after the notice that a server drains by which a router must have stopped sending there.
     pub drain_grace: Span,
-    /// What is held for a request with no attempt out is taken or let go of in this time.
+    /// Time within which a state must be fetched or released while its request has no attempt in flight.
     pub release_within: Span,
-    /// The longest time for which a client waits; none where no class tells it.
+    /// Longest time that a client waits; `None` if no class sets one.
     pub longest_wait: Option<Span>,
 }
 
-/// The settings object.
+/// The settings object as written in JSON.
 #[derive(Deserialize)]
 pub struct RawSettings {
     balancers: u32,
@@ -98,7 +98,7 @@
 struct RawRules {
     cold: u64,
     cold_share: f64,
-    /// Where none is told, nothing is sent any more.
+    /// Default 0: nothing may be sent to a draining server.
     #[serde(default)]
     drain_grace: u64,
     fall: u64,
@@ -131,7 +131,7 @@
 }
 
 impl RawClass {
-    fn to_class(&self, stretch_us: f64) -> Result<Class, String> {
+    fn to_class(&self, aim_us_per_1000: f64) -> Result<Class, String> {
         let effect = match self.effect.as_str() {
             "pure" => Effect::Safe,
             "side_effect" => Effect::Unsafe,
@@ -146,13 +146,13 @@
             }
             other => return Err(format!("classes[].effect: unknown effect `{other}`")),
         };
-        let aim_per_1000 = Span((stretch_us * 1000.0) as u64);
+        let aim_per_1000 = Span((aim_us_per_1000 * 1000.0) as u64);
         Ok(Class { aim: Span(self.aim), aim_per_1000, worth: self.worth, effect })
     }
 }
 
 impl RawSettings {
-    /// What is told of connections to servers.
+    /// The settings for connections to servers.
     pub fn connection_settings(&self) -> ConnectionSettings {
         ConnectionSettings {
             idle: Span(self.ceilings.conn_idle),
@@ -163,33 +163,33 @@
         }
     }
 
-    /// The module's settings, and the names that events will use.
+    /// Converts to the router's settings and the names used in events.
     pub fn into_settings(self) -> Result<(Settings, Names), String> {
-        let stretch =
-            |place: usize| self.extra.aim_us_per_1000_prompt_tokens.get(place).copied().unwrap_or(0.0);
+        let aim_us_per_1000 =
+            |index: usize| self.extra.aim_us_per_1000_prompt_tokens.get(index).copied().unwrap_or(0.0);
         let classes = self
             .classes
             .iter()
             .enumerate()
-            .map(|(place, class)| class.to_class(stretch(place)))
+            .map(|(index, class)| class.to_class(aim_us_per_1000(index)))
             .collect::<Result<_, _>>()?;
         if self.extra.duty_by_kind.len() != self.kinds.len() {
             return Err("extra.duty_by_kind: must have one value for each of kinds".to_owned());
         }
-        let memory = |place: usize| self.extra.kv_tokens.get(place).copied();
+        let memory = |index: usize| self.extra.kv_tokens.get(index).copied();
         let kinds = self
             .extra
             .duty_by_kind
             .iter()
             .enumerate()
-            .map(|(place, duty)| {
+            .map(|(index, duty)| {
                 let role = match duty.as_str() {
                     "read" => Role::Reader,
                     "write" => Role::Writer,
                     "both" => Role::Mixed,
                     other => return Err(format!("extra.duty_by_kind: unknown duty `{other}`")),
                 };
-                Ok(Kind { role, memory_tokens: memory(place) })
+                Ok(Kind { role, memory_tokens: memory(index) })
             })
             .collect::<Result<_, String>>()?;
         let list_on_request = match self.registry_mode.as_str() {
@@ -197,13 +197,14 @@
             "on_request" => true,
             other => return Err(format!("registry_mode: unknown mode `{other}`")),
         };
-        let told = self.telemetry.via == "probe" && self.telemetry.fields.iter().any(|field| field == "x0");
+        let has_reports =
+            self.telemetry.via == "probe" && self.telemetry.fields.iter().any(|field| field == "x0");
         let settings = Settings {
             routers: self.balancers,
             router: self.self_index,
             max_attempts: self.ceilings.max_attempts,
             may_cancel: self.ceilings.cancel,
-            probed_reports: self.ceilings.probes && told,
+            probed_reports: self.ceilings.probes && has_reports,
             max_backoff: self.ceilings.retry_after.then_some(Span(self.ceilings.max_retry_after)),
             list_on_request,
             writers_read: self.extra.local_read,
