--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,4 +1,4 @@
-//! `shedrelay-drill`: plays the decisions of [`shedrelay`] on the bench's JSON wire. It translates only.
+//! `shedrelay-drill`: adapter between [`shedrelay`] and a simulator that speaks JSON lines on stdin and stdout.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -9,19 +9,20 @@
 fn run() -> Result<(), String> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut host = wire::Host::default();
+    let mut adapter = wire::Adapter::default();
     let mut line = String::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
-        number += 1;
+        line_number += 1;
         match input.read_line(&mut line) {
-            Ok(0) => return host.end(),
+            Ok(0) => return adapter.handle_end(),
             Ok(_) => {}
-            Err(error) => return Err(format!("line {number}: {error}")),
+            Err(error) => return Err(format!("line {line_number}: {error}")),
         }
-        let replied = host.line(line.trim_end()).map_err(|error| format!("line {number}: {error}"))?;
-        if let Some(reply) = replied {
+        let reply =
+            adapter.handle_line(line.trim_end()).map_err(|error| format!("line {line_number}: {error}"))?;
+        if let Some(reply) = reply {
             output
                 .write_all(reply.as_bytes())
                 .and_then(|()| output.flush())
--- a/drill/src/wire/fields.rs
+++ b/drill/src/wire/fields.rs
@@ -1,54 +1,54 @@
-//! The values of one message, taken in order.
+//! The values of one message, read in order.
 
-use super::Malformed;
+use super::InputError;
 use serde_json::Value;
 
-/// What is left of a message.
+/// The values of a message that have not been read yet.
 pub struct Fields {
     event: String,
     values: std::vec::IntoIter<Value>,
 }
 
 impl Fields {
-    /// A message from its line.
-    pub fn parse(line: &str) -> Result<Self, Malformed> {
+    /// Parses a line into a message.
+    pub fn parse(line: &str) -> Result<Self, InputError> {
         let Value::Array(values) = serde_json::from_str(line)? else {
-            return Err(Malformed::Shape);
+            return Err(InputError::NotAnEvent);
         };
         let mut values = values.into_iter();
         match values.next() {
             Some(Value::String(event)) => Ok(Fields { event, values }),
-            _ => Err(Malformed::Shape),
+            _ => Err(InputError::NotAnEvent),
         }
     }
 
-    /// An entry inside an event.
+    /// An entry of a list within an event.
     pub fn entry(event: &str, values: Vec<Value>) -> Self {
         Fields { event: event.to_owned(), values: values.into_iter() }
     }
 
-    /// The message's name.
+    /// The event's name.
     pub fn event(&self) -> &str {
         &self.event
     }
 
-    /// Checks the number of values.
-    pub fn arity(&self, least: usize, most: usize, expected: &'static str) -> Result<(), Malformed> {
+    /// Checks the number of values left.
+    pub fn check_count(&self, least: usize, most: usize, expected: &'static str) -> Result<(), InputError> {
         let found = self.values.len();
         if (least..=most).contains(&found) {
             return Ok(());
         }
-        Err(Malformed::Arity { event: self.event.clone(), expected, found })
+        Err(InputError::ValueCount { event: self.event.clone(), expected, found })
     }
 
     /// An error about a field.
-    pub fn wrong(&self, field: &'static str, problem: String) -> Malformed {
-        Malformed::Field { event: self.event.clone(), field, problem }
+    pub fn error(&self, field: &'static str, problem: String) -> InputError {
+        InputError::Field { event: self.event.clone(), field, problem }
     }
 
-    /// The next value, whatever it is.
-    pub fn any(&mut self, field: &'static str) -> Result<Value, Malformed> {
-        self.values.next().ok_or_else(|| self.wrong(field, "missing".to_owned()))
+    /// The next value, of any type.
+    pub fn value(&mut self, field: &'static str) -> Result<Value, InputError> {
+        self.values.next().ok_or_else(|| self.error(field, "missing".to_owned()))
     }
 
     fn optional<T>(
@@ -56,82 +56,86 @@
         field: &'static str,
         what: &str,
         read: impl Fn(&Value) -> Option<T>,
-    ) -> Result<Option<T>, Malformed> {
-        match self.any(field)? {
+    ) -> Result<Option<T>, InputError> {
+        match self.value(field)? {
             Value::Null => Ok(None),
             value => match read(&value) {
                 Some(read) => Ok(Some(read)),
-                None => Err(self.wrong(field, format!("expected {what}, found {value}"))),
+                None => Err(self.error(field, format!("expected {what}, found {value}"))),
             },
         }
     }
 
-    fn required<T>(&self, field: &'static str, value: Option<T>) -> Result<T, Malformed> {
-        value.ok_or_else(|| self.wrong(field, "missing".to_owned()))
+    fn required<T>(&self, field: &'static str, value: Option<T>) -> Result<T, InputError> {
+        value.ok_or_else(|| self.error(field, "missing".to_owned()))
     }
 
-    /// A whole number or null.
-    pub fn maybe_whole(&mut self, field: &'static str) -> Result<Option<u64>, Malformed> {
+    /// An unsigned integer or null.
+    pub fn optional_integer(&mut self, field: &'static str) -> Result<Option<u64>, InputError> {
         self.optional(field, "a whole number", Value::as_u64)
     }
 
-    /// A whole number.
-    pub fn whole(&mut self, field: &'static str) -> Result<u64, Malformed> {
-        let value = self.maybe_whole(field)?;
+    /// An unsigned integer.
+    pub fn integer(&mut self, field: &'static str) -> Result<u64, InputError> {
+        let value = self.optional_integer(field)?;
         self.required(field, value)
     }
 
-    /// A whole number of at most 32 bits.
-    pub fn small(&mut self, field: &'static str) -> Result<u32, Malformed> {
-        let value = self.whole(field)?;
-        u32::try_from(value).map_err(|_| self.wrong(field, format!("{value} is too large")))
+    /// An unsigned 32-bit integer.
+    pub fn integer_32(&mut self, field: &'static str) -> Result<u32, InputError> {
+        let value = self.integer(field)?;
+        u32::try_from(value).map_err(|_| self.error(field, format!("{value} is too large")))
     }
 
-    /// A number, not negative, or null.
-    pub fn maybe_number(&mut self, field: &'static str) -> Result<Option<f64>, Malformed> {
+    /// A number of 0 or more, or null.
+    pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, InputError> {
         self.optional(field, "a number of 0 or more", |v| v.as_f64().filter(|n| *n >= 0.0))
     }
 
-    /// A number, not negative.
-    pub fn number(&mut self, field: &'static str) -> Result<f64, Malformed> {
-        let value = self.maybe_number(field)?;
+    /// A number of 0 or more.
+    pub fn number(&mut self, field: &'static str) -> Result<f64, InputError> {
+        let value = self.optional_number(field)?;
         self.required(field, value)
     }
 
-    /// True, false or null.
-    pub fn maybe_flag(&mut self, field: &'static str) -> Result<Option<bool>, Malformed> {
+    /// A boolean or null.
+    pub fn optional_bool(&mut self, field: &'static str) -> Result<Option<bool>, InputError> {
         self.optional(field, "true or false", Value::as_bool)
     }
 
-    /// A text or null.
-    pub fn maybe_text(&mut self, field: &'static str) -> Result<Option<String>, Malformed> {
+    /// A string or null.
+    pub fn optional_text(&mut self, field: &'static str) -> Result<Option<String>, InputError> {
         self.optional(field, "a text", |v| v.as_str().map(str::to_owned))
     }
 
-    /// A text.
-    pub fn text(&mut self, field: &'static str) -> Result<String, Malformed> {
-        let value = self.maybe_text(field)?;
+    /// A string.
+    pub fn text(&mut self, field: &'static str) -> Result<String, InputError> {
+        let value = self.optional_text(field)?;
         self.required(field, value)
     }
 
-    /// A name's place among those of the settings; none for null, 0 and the empty name.
-    pub fn maybe_named(&mut self, field: &'static str, names: &[String]) -> Result<Option<usize>, Malformed> {
-        let name = match self.any(field)? {
+    /// Index of a name in a list of the settings; `None` for null, 0 and the empty name.
+    pub fn optional_named(
+        &mut self,
+        field: &'static str,
+        names: &[String],
+    ) -> Result<Option<usize>, InputError> {
+        let name = match self.value(field)? {
             Value::Null => return Ok(None),
             Value::Number(n) if n.as_u64() == Some(0) => return Ok(None),
             Value::String(name) if name.is_empty() => return Ok(None),
             Value::String(name) => name,
-            value => return Err(self.wrong(field, format!("expected a name, found {value}"))),
+            value => return Err(self.error(field, format!("expected a name, found {value}"))),
         };
         match names.iter().position(|known| *known == name) {
-            Some(place) => Ok(Some(place)),
-            None => Err(self.wrong(field, format!("`{name}` is not in the settings"))),
+            Some(index) => Ok(Some(index)),
+            None => Err(self.error(field, format!("`{name}` is not in the settings"))),
         }
     }
 
-    /// A name's place among those of the settings.
-    pub fn named(&mut self, field: &'static str, names: &[String]) -> Result<usize, Malformed> {
-        let place = self.maybe_named(field, names)?;
-        self.required(field, place)
+    /// Index of a name in a list of the settings.
+    pub fn named(&mut self, field: &'static str, names: &[String]) -> Result<usize, InputError> {
+        let index = self.optional_named(field, names)?;
+        self.required(field, index)
     }
 }
--- a/drill/tests/wire.rs
+++ b/drill/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: every event and action goes round, and malformed input is named.
+//! Runs the adapter as a process: all events and actions are translated, and errors name the malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -7,18 +7,18 @@
 
 const LIST: &str = r#"["members","router_0",1,"disk",[["active",0,"r","10.0.0.1:7001","z",null,1],["active",0,"w","10.0.0.2:7002","z",0,1.5]]]"#;
 
-fn drill(lines: &[String]) -> Output {
+fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_shedrelay-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the drill starts");
+        .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
-    // The drill may stop reading at a malformed line: a broken pipe is no failure here.
+    // The adapter may stop reading at a malformed line, so a broken pipe is no failure.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
-    child.wait_with_output().expect("the drill ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 fn hello() -> String {
@@ -32,12 +32,12 @@
     lines
 }
 
-const ASK: &str = r#"["ask","router_0",17,"91f03b7c55d20a64",1200,256,1800,4000000000,"note","2b8e6401d9f37c10",1,12000000,"t"]"#;
+const REQUEST: &str = r#"["ask","router_0",17,"91f03b7c55d20a64",1200,256,1800,4000000000,"note","2b8e6401d9f37c10",1,12000000,"t"]"#;
 
 #[test]
-fn events_and_actions_go_round() {
+fn all_events_and_actions_are_translated() {
     let mut lines = batch(1_000_000_000, &[&hello(), LIST]);
-    lines.extend(batch(1_001_000_000, &[ASK]));
+    lines.extend(batch(1_001_000_000, &[REQUEST]));
     lines.extend(batch(
         1_002_000_000,
         &[r#"["returned","router_0",17,1000000,0,"read","10.0.0.1:7001",false,1200,null]"#],
@@ -55,7 +55,7 @@
             r#"["members","router_0",2,"error",null]"#,
         ],
     ));
-    lines.extend(batch(1_100_000_000, &[ASK.replace("17,", "18,").as_str()]));
+    lines.extend(batch(1_100_000_000, &[REQUEST.replace("17,", "18,").as_str()]));
     lines.extend(batch(
         1_110_000_000,
         &[r#"["returned","router_0",18,1000000,0,"read","10.0.0.1:7001",null,0,null]"#],
@@ -64,9 +64,12 @@
         1_120_000_000,
         &[r#"["returned","router_0",18,1000000,1,"fault","10.0.0.2:7002",false,0,null]"#],
     ));
-    lines.extend(batch(1_130_000_000, &[ASK.replace("17,", "19,").as_str(), r#"["lapsed","router_0",19]"#]));
+    lines.extend(batch(
+        1_130_000_000,
+        &[REQUEST.replace("17,", "19,").as_str(), r#"["lapsed","router_0",19]"#],
+    ));
     lines.extend(batch(1_140_000_000, &[r#"["stop","router_0"]"#]));
-    let output = drill(&lines);
+    let output = run_adapter(&lines);
     let text = String::from_utf8(output.stdout).expect("UTF-8");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     for expected in [
@@ -85,16 +88,16 @@
 }
 
 #[test]
-fn a_refusal_carries_its_advice() {
+fn refusal_carries_its_backoff() {
     let mut lines = batch(1_000_000_000, &[&hello(), r#"["members","router_0",1,"disk",[]]"#]);
-    lines.extend(batch(1_001_000_000, &[ASK]));
+    lines.extend(batch(1_001_000_000, &[REQUEST]));
     lines.extend(batch(3_000_000_000, &[r#"["wakeup","router_0",1]"#]));
-    let text = String::from_utf8(drill(&lines).stdout).expect("UTF-8");
+    let text = String::from_utf8(run_adapter(&lines).stdout).expect("UTF-8");
     assert!(text.contains(r#"["not_now","router_0",17,500000000]"#), "{text}");
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn errors_name_the_malformed_input() {
     let bad_settings = hello().replace(r#""balancers":2,"#, "");
     let bad_value = hello().replace(r#""balancers":2,"#, r#""balancers":0,"#);
     let cases: &[(&str, &[&str])] = &[
@@ -112,16 +115,16 @@
         (r#"["checked","router_0",1,"10.0.0.1:7001","pass",{"x0":"much"}]"#, &["`stats`", "x0"]),
         (r#"["members","router_0",1,"sometimes",[]]"#, &["`kind`", "sometimes"]),
         (r#"["members","router_0",1,"diff",[["active",0]]]"#, &["`members`", "found 2"]),
-        (&ASK.replace("\"note\"", "\"memo\""), &["`qos`", "memo"]),
-        (&ASK.replace("91f03b7c55d20a64", "91f0"), &["`talk`", "16 hex digits"]),
-        (&ASK.replace("1800", "-1"), &["`n_prompt`"]),
+        (&REQUEST.replace("\"note\"", "\"memo\""), &["`qos`", "memo"]),
+        (&REQUEST.replace("91f03b7c55d20a64", "91f0"), &["`talk`", "16 hex digits"]),
+        (&REQUEST.replace("1800", "-1"), &["`n_prompt`"]),
         (&bad_settings, &["`hello`", "`settings`", "balancers"]),
         (&bad_value, &["`settings`", "routers: must be at least 1"]),
     ];
     for (line, expected) in cases {
         let mut lines = batch(1, &[&hello(), LIST]);
         lines.extend(batch(2, &[line]));
-        let output = drill(&lines);
+        let output = run_adapter(&lines);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{line}: {message}");
         assert_eq!(message.lines().count(), 1, "{line}: {message}");
@@ -133,16 +136,16 @@
 }
 
 #[test]
-fn an_event_outside_a_batch_and_an_unfinished_batch_are_errors() {
+fn events_outside_a_batch_and_unfinished_batches_are_errors() {
     for lines in [vec![hello()], vec![r#"["flush"]"#.to_owned()], vec![r#"["sync",5]"#.to_owned()]] {
-        let output = drill(&lines);
+        let output = run_adapter(&lines);
         assert_eq!(output.status.code(), Some(1));
         assert!(!output.stderr.is_empty());
     }
 }
 
 #[test]
-fn the_end_of_input_is_a_clean_exit() {
-    let output = drill(&batch(1, &[&hello(), LIST]));
+fn end_of_input_exits_cleanly() {
+    let output = run_adapter(&batch(1, &[&hello(), LIST]));
     assert!(output.status.success());
 }
