--- a/src/logic/silence.rs
+++ b/src/logic/silence.rs
@@ -1,10 +1,10 @@
-//! Servers that have fallen silent: found out by all the calls together that they owe an answer to, and given
-//! one call at a time from then on until they say something.
+//! Outlier detection for silent servers: they are excluded, then probed with one request at a time
+//! (half-open) until they show a sign of life.
 //!
-//! A connection that has fallen silent reports no error, and neither does a call on it. What a server owes is
-//! known here: calls that are out and have no answer, with nothing heard from it on any connection since.
-//! Where it is heard on others it is well, and a call that later ones overtake was lost on its own
-//! connection: `Router::find_silent`.
+//! A connection that has fallen silent reports no error, and neither do the requests on it. A server is
+//! suspected by all its unanswered attempts together, if nothing was heard from it on any connection since
+//! they were sent. One that is heard on other connections is alive; an attempt there that later ones overtake
+//! was lost on its own connection, see `Router::check_late_attempts`.
 
 use super::{Job, PATIENCE, Router, Server, Stage};
 use crate::interface::{Action, Effect, RequestId, Role, ServerId, Span, Time};
@@ -12,141 +12,142 @@
 use fawnstream_fleet::reach::Met;
 use std::collections::BTreeMap;
 
-/// A server is silent when it has said nothing for this many times what its role's answers usually take to
-/// begin ...
+/// A server is silent after this many times its role's latency without a sign of life, if also past
+/// `LEAST_SILENCE` and `LATE_TOGETHER`.
 const USUAL_TIMES: f64 = 4.0;
-/// ... and for this long: what a process that is held up, or one slow exchange, may take ...
+/// Shortest silence that counts: a stalled process or one slow exchange may take this long.
 const LEAST_SILENCE: Span = Span::from_millis(200);
-/// ... and its calls together are later by this many times that: one alone may be long.
+/// The lateness of all attempts at a silent server together must reach this many times the longest silence
+/// allowed, because a single one may just be long.
 const LATE_TOGETHER: f64 = 3.0;
-/// Cuts take several servers at once: this long after a peer fell silent one call says enough.
+/// Network cuts affect several servers at once: for this long after a peer fell silent, one late attempt is
+/// enough to find a server silent.
 const CUT_LASTS: Span = Span::from_millis(1_000);
-/// Calls that a peer may be sent in that time before it says something.
+/// Maximum attempts at a peer in that time until it shows a sign of life.
 const UNPROVEN_CALLS: u32 = 6;
-/// What is usual is known after so many answers of a role.
+/// Answers of a role needed before its latency is known.
 const KNOWN: f64 = 10.0;
 
-/// So many later requests of ours that a server answered first say that it lost one: it takes them in turn.
+/// An attempt is lost once its server answered this many later ones of ours: servers take requests in order.
 const OVERTAKEN: u32 = 3;
-/// Reads out at one silent reader share the patience, so many at most.
+/// Maximum divisor of the patience with a silent reader: several unanswered reads prove more than one.
 const SURE: u32 = 2;
-/// Patience doubles for each part of the peers that is out already; this is how many parts make the whole.
+/// Number of equal parts of a server's peers; each part that is already excluded doubles the patience.
 const DOUBT: f64 = 5.0;
-/// First exclusion of a silent or unreachable server; doubles up to the longest while it stays so.
+/// First exclusion of a silent or unreachable server; doubles up to `LONGEST_OUT` while it stays so.
 pub(super) const FIRST_OUT: Span = Span::from_millis(1_500);
+/// Longest exclusion.
 const LONGEST_OUT: Span = Span::from_millis(6_000);
 
-/// A server that was shut out is tried by one call at a time until it says something.
+/// State of an excluded server: it gets one request at a time until it shows a sign of life.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Trial {
-    /// The call that is out.
+pub(super) struct HalfOpen {
+    /// The request in flight.
     pub(super) probe: Option<RequestId>,
 }
 
-/// A server whose peer fell silent, and that has said nothing since, is given few calls until it does: what
-/// the silent one was sent goes to its peers, and the cut may have taken them too.
+/// Limit on attempts at a server after a peer fell silent, until it shows a sign of life: the silent one's
+/// requests go to its peers, and the same network cut may affect them.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Unproven {
+pub(super) struct Probation {
     until: Time,
-    calls_left: u32,
+    sends_left: u32,
 }
 
-impl Unproven {
-    pub(super) fn takes_calls(&self, now: Time) -> bool {
-        self.calls_left > 0 || self.until <= now
+impl Probation {
+    pub(super) fn allows_send(&self, now: Time) -> bool {
+        self.sends_left > 0 || self.until <= now
     }
 
-    pub(super) fn note_call(&mut self) {
-        self.calls_left = self.calls_left.saturating_sub(1);
+    pub(super) fn note_send(&mut self) {
+        self.sends_left = self.sends_left.saturating_sub(1);
     }
 }
 
 impl Router {
-    /// A server said something: it is well.
-    pub(super) fn heard(&mut self, at: ServerId) {
+    /// Records a sign of life and ends an exclusion.
+    pub(super) fn note_activity(&mut self, at: ServerId) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&at) else { return };
-        let was_shut_out = server.trial.is_some();
+        let was_excluded = server.half_open.is_some();
         server.note_heard(now);
-        if was_shut_out {
-            server.out_until = server.out_until.min(now);
-            self.met(at, Met::Answered);
+        if was_excluded {
+            server.excluded_until = server.excluded_until.min(now);
+            self.note_contact(at, Met::Answered);
         }
     }
 
-    /// Whether a request may be the one call of a server that is on trial: one that may be repeated, as long
-    /// as there are such. Guards against requests that may run only once, and are lost if the server is still
-    /// silent.
-    pub(super) fn may_try(&self, server: &Server, job: &Job) -> bool {
-        let safe = self.settings.classes[job.ask.class.0].effect == Effect::Safe;
-        server.trial.is_none() || safe || server.out_until + LONGEST_OUT <= self.now
+    /// Whether a request may probe a half-open server. One that may run only once would be lost if the server
+    /// is still silent, so it may do so only after a long time without any probe.
+    pub(super) fn may_probe(&self, server: &Server, job: &Job) -> bool {
+        let repeatable = self.settings.classes[job.request.class.0].effect == Effect::Safe;
+        server.half_open.is_none() || repeatable || server.excluded_until + LONGEST_OUT <= self.now
     }
 
-    /// How long a server of a role may say nothing while it owes answers; none while nothing is known of its
-    /// peers.
-    fn longest_silence(&self, role: Role) -> Option<Span> {
+    /// Longest silence allowed to a server of a role while attempts wait for it; `None` until the role's
+    /// latency is known.
+    fn max_silence(&self, role: Role) -> Option<Span> {
         let pool = &self.pools[role as usize];
-        let usual = Span((pool.usual * USUAL_TIMES) as u64);
-        (pool.answers >= KNOWN).then(|| usual.max(LEAST_SILENCE))
+        let longest = Span((pool.latency * USUAL_TIMES) as u64);
+        (pool.answers >= KNOWN).then(|| longest.max(LEAST_SILENCE))
     }
 
-    /// Whether a server of a role is silent that owes an answer to calls that were sent then.
+    /// Whether a server of a role is silent, from the times at which its unanswered attempts were sent.
     fn is_silent(&self, role: Role, sent: &[Time]) -> bool {
-        let Some(longest) = self.longest_silence(role) else { return false };
+        let Some(longest) = self.max_silence(role) else { return false };
         let Some(oldest) = sent.iter().min().map(|sent| self.now - *sent) else { return false };
-        let cut = self.cut[role as usize].is_some_and(|cut| self.now - cut <= CUT_LASTS);
-        let usual = Span(self.pools[role as usize].usual as u64);
-        let late = |sent: &Time| (self.now - *sent - usual).min(longest).secs();
-        let together: f64 = sent.iter().map(late).sum();
-        oldest > longest && (cut || together >= longest.secs() * LATE_TOGETHER)
+        let recent_cut = self.last_silence[role as usize].is_some_and(|cut| self.now - cut <= CUT_LASTS);
+        let latency = Span(self.pools[role as usize].latency as u64);
+        let late = |sent: &Time| (self.now - *sent - latency).min(longest).secs();
+        let total_lateness: f64 = sent.iter().map(late).sum();
+        oldest > longest && (recent_cut || total_lateness >= longest.secs() * LATE_TOGETHER)
     }
 
-    /// Shuts out writers that owe answers and have said nothing for too long, and calls off what may be
-    /// repeated.
-    pub(super) fn find_silent_servers(&mut self, out: &mut Vec<Action>) {
-        let mut owed: BTreeMap<ServerId, Vec<Time>> = Default::default();
+    /// Excludes servers whose writes have been unanswered for too long, and cancels what may be repeated.
+    pub(super) fn exclude_silent_writers(&mut self, out: &mut Vec<Action>) {
+        let mut unanswered: BTreeMap<ServerId, Vec<Time>> = Default::default();
         for job in self.jobs.values().filter(|job| job.stage == Stage::Writing) {
-            let Some((at, server)) = job.at.and_then(|at| Some((at, self.servers.get(&at)?))) else {
+            let Some((at, server)) = job.server.and_then(|at| Some((at, self.servers.get(&at)?))) else {
                 continue;
             };
-            if server.heard < job.sent && server.out_until <= self.now {
-                owed.entry(at).or_default().push(job.sent);
+            if server.last_heard < job.sent && server.excluded_until <= self.now {
+                unanswered.entry(at).or_default().push(job.sent);
             }
         }
-        // Twice, for one that is found says something of those that were looked at before it.
+        // Two passes: each silent server lowers the threshold for those checked before it.
         for _ in 0..2 {
-            owed.retain(|at, sent| {
+            unanswered.retain(|at, sent| {
                 let silent = self.is_silent(self.servers[at].role, sent);
                 if silent {
-                    self.fell_silent(*at, out);
+                    self.mark_silent(*at, out);
                 }
                 !silent
             });
         }
     }
 
-    /// What was held for a request is gone though its call is out: whoever takes it next has to read it anew.
-    /// A writer that has said nothing since, for longer than its peers take, is silent.
-    pub(super) fn hold_released(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// The state of a request was released during its attempt, so a retry must read it again. A writer
+    /// without a sign of life since the attempt, for longer than its peers take, is silent.
+    pub(super) fn lease_released(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.held = false;
+        job.has_lease = false;
         let (sent, writing) = (job.sent, job.stage == Stage::Writing);
-        let Some(at) = job.at.filter(|_| writing) else { return };
-        let Some(server) = self.servers.get(&at).filter(|server| server.heard < sent) else { return };
-        if self.longest_silence(server.role).is_some_and(|longest| self.now - sent > longest) {
-            self.fell_silent(at, out);
+        let Some(at) = job.server.filter(|_| writing) else { return };
+        let Some(server) = self.servers.get(&at).filter(|server| server.last_heard < sent) else { return };
+        if self.max_silence(server.role).is_some_and(|longest| self.now - sent > longest) {
+            self.mark_silent(at, out);
         }
     }
 
-    /// A server has fallen silent. What it was sent and may be repeated goes elsewhere.
-    fn fell_silent(&mut self, at: ServerId, out: &mut Vec<Action>) {
-        self.shut_out(at, Met::Unanswered);
+    /// Excludes a silent server, limits attempts at its peers, and cancels its writes that may be repeated.
+    fn mark_silent(&mut self, at: ServerId, out: &mut Vec<Action>) {
+        self.exclude(at, Met::Unanswered);
         if let Some(role) = self.servers.get(&at).map(|server| server.role) {
-            self.cut[role as usize] = Some(self.now);
-            let unproven = Unproven { until: self.now + CUT_LASTS, calls_left: UNPROVEN_CALLS };
+            self.last_silence[role as usize] = Some(self.now);
+            let probation = Probation { until: self.now + CUT_LASTS, sends_left: UNPROVEN_CALLS };
             for peer in self.servers.values_mut().filter(|peer| peer.role == role) {
-                if peer.unproven.is_none_or(|known| known.until <= self.now) {
-                    peer.unproven = Some(unproven);
+                if peer.probation.is_none_or(|known| known.until <= self.now) {
+                    peer.probation = Some(probation);
                 }
             }
         }
@@ -154,56 +155,55 @@
             return;
         }
         let classes = &self.settings.classes;
-        let safe = |job: &Job| classes[job.ask.class.0].effect == Effect::Safe;
-        let there = |job: &Job| job.stage == Stage::Writing && job.at == Some(at);
-        for (id, job) in self.jobs.iter_mut().filter(|(_, job)| there(job) && safe(job)) {
+        let repeatable = |job: &Job| classes[job.request.class.0].effect == Effect::Safe;
+        let there = |job: &Job| job.stage == Stage::Writing && job.server == Some(at);
+        for (id, job) in self.jobs.iter_mut().filter(|(_, job)| there(job) && repeatable(job)) {
             job.cancel_attempt(*id, out);
         }
     }
 
-    /// Silence: a server owes an answer for longer than its peers take, and said nothing since. It is shut
-    /// out, and what may be repeated is called off. One that still answers others is waited for: a cancel
-    /// stops no running work, so trying elsewhere would only double the load; but what several later requests
-    /// have overtaken there is lost, and called off too. Guards against hung, dead or
-    /// cut-off servers; a lone very long read can look like silence, which costs that read.
-    pub(super) fn find_silent(&mut self, out: &mut Vec<Action>) {
+    /// Excludes servers with an attempt later than its patience and no sign of life since (hung, dead or cut
+    /// off), and cancels what may be repeated. A single very long read can look like silence and is lost.
+    /// An attempt at a server that answers others is waited for: a cancel stops no running work, so a retry
+    /// elsewhere would only double the load. If several later ones overtook it, it is lost and cancelled too.
+    pub(super) fn check_late_attempts(&mut self, out: &mut Vec<Action>) {
         let mut silent = Vec::new();
-        // Each fifth of the peers that is out doubles the patience: what many show at once is load.
+        // Each fifth of the peers that is excluded doubles the patience: many late servers mean high load.
         let peers = self.servers.values().filter(|server| server.listed());
-        let doubt = stretch(DOUBT, peers.map(|s| (s.role as usize, s.out_until > self.now)));
+        let doubt = stretch(DOUBT, peers.map(|s| (s.role as usize, s.excluded_until > self.now)));
         for (id, job) in &mut self.jobs {
-            let out_there = matches!(job.stage, Stage::Reading | Stage::Writing);
-            let Some(at) = job.at.filter(|_| out_there) else { continue };
+            let is_unanswered = matches!(job.stage, Stage::Reading | Stage::Writing);
+            let Some(at) = job.server.filter(|_| is_unanswered) else { continue };
             let Some(server) = self.servers.get(&at) else { continue };
-            let usual = Span((self.pools[server.role as usize].usual * PATIENCE) as u64);
-            let lost = job.overtaken >= OVERTAKEN && self.now - job.sent > usual;
-            if server.heard >= job.sent && !lost {
+            let lost_after = Span((self.pools[server.role as usize].latency * PATIENCE) as u64);
+            let lost = job.overtaken >= OVERTAKEN && self.now - job.sent > lost_after;
+            if server.last_heard >= job.sent && !lost {
                 continue;
             }
-            // Several silent reads say more than one; streams at a writer say nothing of it.
+            // Several unanswered reads prove more than one; a writer's attempts include running streams.
             let silent_reads = if server.role == Role::Reader { server.attempts.clamp(1, SURE) } else { 1 };
-            let patience = job.patience.times(doubt[server.role as usize] / f64::from(silent_reads));
+            let patience = job.late_after.times(doubt[server.role as usize] / f64::from(silent_reads));
             if self.now - job.sent <= patience && !lost {
                 continue;
             }
-            if server.heard < job.sent {
+            if server.last_heard < job.sent {
                 silent.push(at);
             }
-            let safe = self.settings.classes[job.ask.class.0].effect == Effect::Safe;
-            if (safe || job.stage == Stage::Reading) && self.settings.may_cancel {
+            let repeatable = self.settings.classes[job.request.class.0].effect == Effect::Safe;
+            if (repeatable || job.stage == Stage::Reading) && self.settings.may_cancel {
                 job.cancel_attempt(*id, out);
             }
         }
-        silent.into_iter().for_each(|at| self.shut_out(at, Met::Unanswered));
+        silent.into_iter().for_each(|at| self.exclude(at, Met::Unanswered));
     }
 
-    /// A server gets nothing for a while, longer each time, and then one call at a time until it says
-    /// something.
-    pub(super) fn shut_out(&mut self, at: ServerId, how: Met) {
-        self.met(at, how);
-        let Some(server) = self.servers.get_mut(&at).filter(|s| s.out_until <= self.now) else { return };
-        server.out_until = self.now + server.out_span;
-        server.out_span = (server.out_span + server.out_span).min(LONGEST_OUT);
-        server.trial = Some(Trial::default());
+    /// Excludes a server for a while, longer each time; after that it gets one request at a time until it
+    /// shows a sign of life.
+    pub(super) fn exclude(&mut self, at: ServerId, how: Met) {
+        self.note_contact(at, how);
+        let Some(server) = self.servers.get_mut(&at).filter(|s| s.excluded_until <= self.now) else { return };
+        server.excluded_until = self.now + server.next_exclusion;
+        server.next_exclusion = (server.next_exclusion + server.next_exclusion).min(LONGEST_OUT);
+        server.half_open = Some(HalfOpen::default());
     }
 }
