--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router under test, its clock, and what it did.
+//! Test harness: a router with its clock and a record of its actions.
 #![allow(dead_code)]
 
 use shedrelay::*;
@@ -50,45 +50,45 @@
     vec![member(1, 0, 0), member(2, 0, 1), member(11, 1, 0), member(12, 1, 1)]
 }
 
-pub struct Bench {
+pub struct Harness {
     pub router: Router,
     pub now: u64,
-    pub log: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings, members: Vec<Member>) -> Self {
         let router = Router::new(settings, 7).expect("settings are valid");
-        let mut bench = Bench { router, now: 1_000 * MS, log: Vec::new() };
-        bench.hear(Event::Members(Members::Full(members)));
-        bench
+        let mut harness = Harness { router, now: 1_000 * MS, actions: Vec::new() };
+        harness.handle(Event::Members(Members::Full(members)));
+        harness
     }
 
-    /// Hears an event and gives what the router did, timers apart.
-    pub fn hear(&mut self, event: Event) -> Vec<Action> {
+    /// Handles an event and returns the resulting actions without timers.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(Time(self.now), event, &mut out);
         out.retain(|action| !matches!(action, Action::Timer { .. }));
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
-    /// Lets time pass, waking the router every 20 ms.
-    pub fn wait(&mut self, ms: u64) -> Vec<Action> {
+    /// Advances the clock with a tick every 20 ms.
+    pub fn advance(&mut self, ms: u64) -> Vec<Action> {
         let mut out = Vec::new();
         for _ in 0..ms.div_ceil(20) {
             self.now += 20 * MS;
-            out.extend(self.hear(Event::Timer(TimerId(1))));
+            out.extend(self.handle(Event::Timer(TimerId(1))));
         }
         out
     }
 
-    pub fn ask(&mut self, id: u64, prefix: Option<u64>) -> Vec<Action> {
-        self.ask_session(id, 1_000 + id, prefix)
+    pub fn request(&mut self, id: u64, prefix: Option<u64>) -> Vec<Action> {
+        self.request_in_session(id, 1_000 + id, prefix)
     }
 
-    pub fn ask_session(&mut self, id: u64, session: u64, prefix: Option<u64>) -> Vec<Action> {
-        self.hear(Event::Request(Request {
+    pub fn request_in_session(&mut self, id: u64, session: u64, prefix: Option<u64>) -> Vec<Action> {
+        self.handle(Event::Request(Request {
             id: RequestId(id),
             session: Some(Key(session)),
             prefix: prefix.map(Key),
@@ -101,12 +101,18 @@
         }))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, verdict: Verdict) -> Vec<Action> {
-        self.end_with(id, attempt, verdict, None)
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, verdict: Verdict) -> Vec<Action> {
+        self.end_attempt_with(id, attempt, verdict, None)
     }
 
-    pub fn end_with(&mut self, id: u64, attempt: u32, verdict: Verdict, kept: Option<f64>) -> Vec<Action> {
-        self.hear(Event::Outcome(Outcome {
+    pub fn end_attempt_with(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        verdict: Verdict,
+        kept: Option<f64>,
+    ) -> Vec<Action> {
+        self.handle(Event::Outcome(Outcome {
             request: RequestId(id),
             attempt: Attempt(attempt),
             verdict,
@@ -117,12 +123,12 @@
         }))
     }
 
-    pub fn first(&mut self, id: u64, attempt: u32) -> Vec<Action> {
-        self.hear(Event::FirstToken { request: RequestId(id), attempt: Attempt(attempt) })
+    pub fn first_token(&mut self, id: u64, attempt: u32) -> Vec<Action> {
+        self.handle(Event::FirstToken { request: RequestId(id), attempt: Attempt(attempt) })
     }
 }
 
-/// Where the actions send a request.
+/// Servers to which the actions send requests.
 pub fn sent_to(actions: &[Action]) -> Vec<u64> {
     actions
         .iter()
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,8 +1,8 @@
-//! Repeats and refusals, in a model of servers that may not have heard yet that an attempt was given up.
+//! Model test of retries and refusals: no request may run twice.
 //!
-//! The decisions are driven with any order of reads, rejections, broken connections, time-outs, cancels, timers and
-//! clients that leave. What the model knows and the router does not is what really happened at the servers. A refusal
-//! is checked as if its client sent the request again at once, or after the time that it was told.
+//! Random orders of reads, rejections, broken connections, timeouts, cancels, timers and clients that leave drive the
+//! router. The model also knows what really happened at the servers, which may not have noticed yet that an attempt
+//! was given up. A refusal is checked as if its client retried at once or after the advised delay.
 
 mod common;
 
@@ -13,111 +13,110 @@
 
 const FIRST_WRITER: u64 = 10;
 const BUDGET_MS: u64 = 5_000;
-const BACK_OFF_MS: u64 = 300;
+const BACKOFF_MS: u64 = 300;
 
-/// What happens next to the oldest open request, the second oldest and so on, by its place.
+/// A step of the model. The index selects a request with an attempt in flight, oldest first.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Ask,
+    Request,
     Written(usize),
-    /// A read ends well, or a stream; what was not written whole by then breaks off.
-    Served(usize),
-    TurnedAway(usize),
+    /// A read or an answer ends well, or the connection fails if the request was not written completely.
+    Completed(usize),
+    Rejected(usize),
     NoState(usize),
     Error(usize),
     Broken(usize),
-    /// An answer that cannot be read: the router ends the connection.
-    Spoilt(usize),
-    /// A rejection that may belong to an earlier request on the connection.
-    Stray(usize),
+    /// An unreadable answer: the router closes the connection.
+    Unreadable(usize),
+    /// A rejection that may be for an earlier request on the connection.
+    StrayRejection(usize),
     TimedOut(usize),
-    Leaves(usize),
+    ClientLeaves(usize),
     CloseArrives,
     Wait(u64),
 }
 
-/// An attempt as it really is.
-struct Real {
+/// The real state of an attempt.
+struct RealAttempt {
     server: u64,
     sent: u64,
     written: bool,
-    turned_away: bool,
-    out: bool,
+    rejected: bool,
+    in_flight: bool,
 }
 
-impl Real {
+impl RealAttempt {
     fn may_have_run(&self) -> bool {
-        self.server > FIRST_WRITER && self.written && !self.turned_away
+        self.server > FIRST_WRITER && self.written && !self.rejected
     }
 }
 
 #[derive(Default)]
-struct Open {
-    attempts: Vec<Real>,
-    waits: bool,
+struct OpenRequest {
+    attempts: Vec<RealAttempt>,
+    waiting: bool,
     answered: bool,
     left: bool,
     deadline: u64,
 }
 
-struct World {
-    bench: Bench,
+struct Model {
+    harness: Harness,
     effect: Effect,
-    open: BTreeMap<u64, Open>,
-    last: u64,
+    open: BTreeMap<u64, OpenRequest>,
+    last_id: u64,
 }
 
 fn cell(server: u64) -> u64 {
     server % 2
 }
 
-impl World {
+impl Model {
     fn new(effect: Effect) -> Self {
-        let mut told = settings(effect);
-        told.max_backoff = Some(Span::from_millis(BACK_OFF_MS));
+        let mut config = settings(effect);
+        config.max_backoff = Some(Span::from_millis(BACKOFF_MS));
         let readers = (1..=3).map(|id| member(id, 0, cell(id)));
         let writers = (11..=14).map(|id| member(id, 1, cell(id)));
-        let bench = Bench::new(told, readers.chain(writers).collect());
-        World { bench, effect, open: BTreeMap::new(), last: 0 }
+        let harness = Harness::new(config, readers.chain(writers).collect());
+        Model { harness, effect, open: BTreeMap::new(), last_id: 0 }
     }
 
-    /// The number of the request at this place, if an attempt of it is out.
-    fn out(&self, place: usize) -> Option<u64> {
-        let mut out = self.open.iter().filter(|(_, open)| open.waits);
-        out.nth(place).map(|(id, _)| *id)
+    /// Number of the request at this index among those with an attempt in flight.
+    fn request_at(&self, index: usize) -> Option<u64> {
+        let mut out = self.open.iter().filter(|(_, open)| open.waiting);
+        out.nth(index).map(|(id, _)| *id)
     }
 
-    fn end(&mut self, place: usize, verdict: Verdict, evidence: Evidence) {
-        if let Some(id) = self.out(place) {
-            self.end_of(id, verdict, evidence);
+    fn end(&mut self, index: usize, verdict: Verdict, evidence: Evidence) {
+        if let Some(id) = self.request_at(index) {
+            self.end_request(id, verdict, evidence);
         }
     }
 
-    fn end_of(&mut self, id: u64, verdict: Verdict, evidence: Evidence) {
+    fn end_request(&mut self, id: u64, verdict: Verdict, evidence: Evidence) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let attempt = Attempt(open.attempts.len() as u32 - 1);
         let Some(real) = open.attempts.last_mut() else { return };
-        open.waits = false;
-        real.out = evidence == Evidence::Router;
-        real.turned_away =
-            evidence == Evidence::Server && matches!(verdict, Verdict::Full | Verdict::NoState);
+        open.waiting = false;
+        real.in_flight = evidence == Evidence::Router;
+        real.rejected = evidence == Evidence::Server && matches!(verdict, Verdict::Full | Verdict::NoState);
         let verdict = if real.written { verdict } else { Verdict::NoRoute };
         let settled = verdict == Verdict::Ok || open.answered;
         open.answered |= settled;
         let outcome =
             Outcome { request: RequestId(id), attempt, verdict, evidence, settled, kept: None, report: None };
-        let actions = self.bench.hear(Event::Outcome(outcome));
-        self.follow(actions);
+        let actions = self.harness.handle(Event::Outcome(outcome));
+        self.apply(actions);
     }
 
-    fn follow(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => self.sent(request.0, server.0),
                 Action::Refuse { request, backoff } => self.refused(request.0, backoff),
                 Action::Fail(request) => self.answered(request.0),
                 Action::Cancel { request, .. } => {
-                    self.end_of(request.0, Verdict::Cancelled, Evidence::Router);
+                    self.end_request(request.0, Verdict::Cancelled, Evidence::Router);
                 }
                 _ => {}
             }
@@ -125,11 +124,11 @@
     }
 
     fn sent(&mut self, id: u64, server: u64) {
-        let (now, effect) = (self.bench.now, self.effect);
+        let (now, effect) = (self.harness.now, self.effect);
         let open = self.open.get_mut(&id).expect("sent for an open request");
-        assert!(!open.answered && !open.left && !open.waits, "sent although answered, left or out");
+        assert!(!open.answered && !open.left && !open.waiting, "sent although answered, left or out");
         for ran in open.attempts.iter().filter(|real| real.may_have_run()) {
-            let fits = match effect {
+            let allowed = match effect {
                 Effect::Safe => true,
                 Effect::Unsafe => false,
                 Effect::Keyed(scope, window) => {
@@ -137,16 +136,24 @@
                         && (scope == DedupScope::All || cell(server) == cell(ran.server))
                 }
             };
-            assert!(fits, "run again at {server} although it may have run at {}", ran.server);
+            assert!(allowed, "run again at {server} although it may have run at {}", ran.server);
         }
-        open.waits = true;
-        open.attempts.push(Real { server, sent: now, written: false, turned_away: false, out: true });
+        open.waiting = true;
+        open.attempts.push(RealAttempt {
+            server,
+            sent: now,
+            written: false,
+            rejected: false,
+            in_flight: true,
+        });
     }
 
-    fn refused(&mut self, id: u64, back_off: Option<Span>) {
-        let again = self.bench.now + back_off.unwrap_or_default().0;
+    fn refused(&mut self, id: u64, backoff: Option<Span>) {
+        let again = self.harness.now + backoff.unwrap_or_default().0;
         let open = &self.open[&id];
-        for real in open.attempts.iter().filter(|real| real.may_have_run() || (real.written && real.out)) {
+        for real in
+            open.attempts.iter().filter(|real| real.may_have_run() || (real.written && real.in_flight))
+        {
             let harmless = match self.effect {
                 Effect::Safe => true,
                 Effect::Keyed(DedupScope::All, window) => again < real.sent + window.0,
@@ -165,75 +172,75 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask => {
-                self.last += 1;
-                let deadline = self.bench.now + BUDGET_MS * MS;
-                self.open.insert(self.last, Open { deadline, ..Open::default() });
-                let actions = self.bench.ask(self.last, None);
-                self.follow(actions);
+            Step::Request => {
+                self.last_id += 1;
+                let deadline = self.harness.now + BUDGET_MS * MS;
+                self.open.insert(self.last_id, OpenRequest { deadline, ..OpenRequest::default() });
+                let actions = self.harness.request(self.last_id, None);
+                self.apply(actions);
             }
-            Step::Written(place) => {
-                let open = self.out(place).and_then(|id| self.open.get_mut(&id));
+            Step::Written(index) => {
+                let open = self.request_at(index).and_then(|id| self.open.get_mut(&id));
                 if let Some(real) = open.and_then(|open| open.attempts.last_mut()) {
                     real.written = true;
                 }
             }
-            Step::Served(place) => {
-                let Some(id) = self.out(place) else { return };
+            Step::Completed(index) => {
+                let Some(id) = self.request_at(index) else { return };
                 let reads = self.open[&id].attempts.last().is_some_and(|real| real.server < FIRST_WRITER);
                 let verdict = if reads { Verdict::Read } else { Verdict::Ok };
-                self.end_of(id, verdict, Evidence::Server);
+                self.end_request(id, verdict, Evidence::Server);
             }
-            Step::TurnedAway(place) => self.end(place, Verdict::Full, Evidence::Server),
-            Step::NoState(place) => self.end(place, Verdict::NoState, Evidence::Server),
-            Step::Error(place) => self.end(place, Verdict::Error, Evidence::Server),
-            Step::Broken(place) => self.end(place, Verdict::Reset, Evidence::Server),
-            Step::Spoilt(place) => self.end(place, Verdict::Spoilt, Evidence::Router),
-            Step::Stray(place) => self.end(place, Verdict::Full, Evidence::Router),
-            Step::TimedOut(place) => self.end(place, Verdict::Timeout, Evidence::Router),
-            Step::Leaves(place) => {
-                let Some(id) = self.out(place) else { return };
+            Step::Rejected(index) => self.end(index, Verdict::Full, Evidence::Server),
+            Step::NoState(index) => self.end(index, Verdict::NoState, Evidence::Server),
+            Step::Error(index) => self.end(index, Verdict::Error, Evidence::Server),
+            Step::Broken(index) => self.end(index, Verdict::Reset, Evidence::Server),
+            Step::Unreadable(index) => self.end(index, Verdict::Spoilt, Evidence::Router),
+            Step::StrayRejection(index) => self.end(index, Verdict::Full, Evidence::Router),
+            Step::TimedOut(index) => self.end(index, Verdict::Timeout, Evidence::Router),
+            Step::ClientLeaves(index) => {
+                let Some(id) = self.request_at(index) else { return };
                 let open = self.open.get_mut(&id).expect("open");
                 if !open.answered {
                     (open.left, open.answered) = (true, true);
-                    let actions = self.bench.hear(Event::ClientLeft(RequestId(id)));
-                    self.follow(actions);
+                    let actions = self.harness.handle(Event::ClientLeft(RequestId(id)));
+                    self.apply(actions);
                 }
             }
             Step::CloseArrives => {
                 for open in self.open.values_mut() {
-                    let given_up = open.attempts.len() - usize::from(open.waits);
-                    open.attempts[..given_up].iter_mut().for_each(|real| real.out = false);
+                    let given_up = open.attempts.len() - usize::from(open.waiting);
+                    open.attempts[..given_up].iter_mut().for_each(|real| real.in_flight = false);
                 }
             }
             Step::Wait(ms) => {
-                self.bench.now += ms * MS;
-                let late = |open: &Open| open.waits && self.bench.now >= open.deadline;
+                self.harness.now += ms * MS;
+                let late = |open: &OpenRequest| open.waiting && self.harness.now >= open.deadline;
                 let late: Vec<u64> =
                     self.open.iter().filter(|(_, open)| late(open)).map(|(id, _)| *id).collect();
-                late.into_iter().for_each(|id| self.end_of(id, Verdict::Timeout, Evidence::Router));
-                let actions = self.bench.hear(Event::Timer(TimerId(1)));
-                self.follow(actions);
+                late.into_iter().for_each(|id| self.end_request(id, Verdict::Timeout, Evidence::Router));
+                let actions = self.harness.handle(Event::Timer(TimerId(1)));
+                self.apply(actions);
             }
         }
-        self.open.retain(|_, open| !open.answered || open.waits);
+        self.open.retain(|_, open| !open.answered || open.waiting);
     }
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let place = 0..3usize;
+    let index = 0..3usize;
     prop_oneof![
-        3 => Just(Step::Ask),
-        8 => place.clone().prop_map(Step::Written),
-        4 => place.clone().prop_map(Step::Served),
-        1 => place.clone().prop_map(Step::TurnedAway),
-        1 => place.clone().prop_map(Step::NoState),
-        1 => place.clone().prop_map(Step::Error),
-        1 => place.clone().prop_map(Step::Broken),
-        1 => place.clone().prop_map(Step::Spoilt),
-        1 => place.clone().prop_map(Step::Stray),
-        2 => place.clone().prop_map(Step::TimedOut),
-        1 => place.prop_map(Step::Leaves),
+        3 => Just(Step::Request),
+        8 => index.clone().prop_map(Step::Written),
+        4 => index.clone().prop_map(Step::Completed),
+        1 => index.clone().prop_map(Step::Rejected),
+        1 => index.clone().prop_map(Step::NoState),
+        1 => index.clone().prop_map(Step::Error),
+        1 => index.clone().prop_map(Step::Broken),
+        1 => index.clone().prop_map(Step::Unreadable),
+        1 => index.clone().prop_map(Step::StrayRejection),
+        2 => index.clone().prop_map(Step::TimedOut),
+        1 => index.prop_map(Step::ClientLeaves),
         2 => Just(Step::CloseArrives),
         4 => (1..1_500u64).prop_map(Step::Wait),
     ]
@@ -254,11 +261,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(3_000) })]
 
     #[test]
-    fn nothing_runs_twice_in_any_order_of_events(
+    fn no_request_runs_twice_in_any_event_order(
         effect in effect(),
         steps in prop::collection::vec(step(), 10..80),
     ) {
-        let mut world = World::new(effect);
-        steps.into_iter().for_each(|step| world.step(step));
+        let mut model = Model::new(effect);
+        steps.into_iter().for_each(|step| model.step(step));
     }
 }
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -1,5 +1,5 @@
-//! Every class, every customer inside its share, the longest prompts and every session get their part: one router and
-//! twelve, before readers that read one prompt after the other, at two thirds of what is asked of them and on a quiet day.
+//! Fairness between classes, tenants, long and short prompts, and sessions: with one router and twelve, under overload
+//! and with low load. Readers read one prompt at a time; under overload they can read two thirds of the requests.
 
 mod common;
 
@@ -9,16 +9,18 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const READERS: u64 = 6;
-/// Tokens that a reader reads in one step of 20 ms.
-const STEP: f64 = 600.0;
-/// Requests a second, of all routers together: more than the readers read, and far less.
-const RATE: u64 = 150;
-const QUIET: u64 = 60;
-/// How much longer than the others one in ten is.
+/// Tokens that a reader reads per step of 20 ms.
+const TOKENS_PER_STEP: f64 = 600.0;
+/// Requests per second of all routers together, more than the readers can read.
+const OVERLOAD_RATE: u64 = 150;
+/// Requests per second of all routers together, far less than the readers can read.
+const LOW_RATE: u64 = 60;
+/// Tokens of nine in ten prompts.
 const SHORT: f64 = 1_000.0;
+/// Tokens of one in ten prompts.
 const LONG: f64 = 8_000.0;
 
-struct Asked {
+struct OpenRequest {
     router: usize,
     session: u64,
     attempts: u32,
@@ -28,33 +30,34 @@
     tokens: f64,
 }
 
-/// Asked and answered, of some kind of request.
+/// Numbers of requests and of answers, by kind of request.
 type Parts = BTreeMap<String, (f64, f64)>;
 
-fn play(count: u32, over_share_worth: f64, per_1000: Span) -> Parts {
-    play_at(RATE, true, count, over_share_worth, per_1000)
+fn simulate_overload(count: u32, over_share_worth: f64, per_1000: Span) -> Parts {
+    simulate(OVERLOAD_RATE, true, count, over_share_worth, per_1000)
 }
 
-/// So many requests a second, in sessions of three turns some seconds apart.
-fn play_at(rate: u64, tenants: bool, count: u32, over_share_worth: f64, per_1000: Span) -> Parts {
+/// Simulates `rate` requests per second, in sessions of three turns some seconds apart.
+fn simulate(rate: u64, tenants: bool, count: u32, over_share_worth: f64, per_1000: Span) -> Parts {
     let sessions = rate * 5;
     let members: Vec<Member> =
         (0..READERS).flat_map(|n| [member(1 + n, 0, n / 2), member(101 + n, 1, n / 2)]).collect();
-    let mut told = settings(Effect::Safe);
-    // One that may not be repeated, and one of little worth.
-    let class = |effect, worth| Class { effect, worth, aim_per_1000: per_1000, ..told.classes[0].clone() };
-    told.classes = vec![class(Effect::Safe, 1.0), class(Effect::Unsafe, 2.0), class(Effect::Safe, 1.0)];
-    // The first customer asks for all of its share, the second for far more than that.
+    let mut config = settings(Effect::Safe);
+    // The second class may not be repeated.
+    let class = |effect, worth| Class { effect, worth, aim_per_1000: per_1000, ..config.classes[0].clone() };
+    config.classes = vec![class(Effect::Safe, 1.0), class(Effect::Unsafe, 2.0), class(Effect::Safe, 1.0)];
+    // The first tenant uses all of its quota, the second far more than its quota.
     if tenants {
-        told.tenants = vec![Tenant { quota_per_s: 80.0 }, Tenant { quota_per_s: 20.0 }];
+        config.tenants = vec![Tenant { quota_per_s: 80.0 }, Tenant { quota_per_s: 20.0 }];
     }
-    (told.routers, told.over_share_worth) = (count, over_share_worth);
-    let mut routers: Vec<Bench> = (0..count).map(|_| Bench::new(told.clone(), members.clone())).collect();
-    let (mut open, mut lines) = (BTreeMap::new(), BTreeMap::<u64, VecDeque<(u64, f64)>>::new());
+    (config.routers, config.over_share_worth) = (count, over_share_worth);
+    let mut routers: Vec<Harness> =
+        (0..count).map(|_| Harness::new(config.clone(), members.clone())).collect();
+    let (mut open, mut queues) = (BTreeMap::new(), BTreeMap::<u64, VecDeque<(u64, f64)>>::new());
     let mut parts = Parts::new();
-    let (mut id, mut acts) = (0, Vec::<(usize, Action)>::new());
+    let (mut id, mut actions) = (0, Vec::<(usize, Action)>::new());
     for step in 0..50 * 20u64 {
-        // The last five seconds only answer what was asked before.
+        // No new requests in the last five seconds.
         let due = if step < 50 * 15 { (step + 1) * rate / 50 - step * rate / 50 } else { 0 };
         let timers = (0..routers.len()).map(|at| (at, Event::Timer(TimerId(1))));
         let mut events: Vec<(usize, Event)> = timers.collect();
@@ -66,7 +69,7 @@
             let tokens = if long { LONG } else { SHORT };
             let router = (id as usize * 7) % routers.len();
             let session = id % sessions;
-            open.insert(id, Asked { router, session, attempts: 0, class, tenant, long, tokens });
+            open.insert(id, OpenRequest { router, session, attempts: 0, class, tenant, long, tokens });
             events.push((
                 router,
                 Event::Request(Request {
@@ -81,37 +84,37 @@
                 }),
             ));
         }
-        for (reader, line) in &mut lines {
-            let mut left = STEP;
-            while let Some((id, tokens)) = line.front_mut().filter(|_| left > 0.0) {
+        for (reader, queue) in &mut queues {
+            let mut left = TOKENS_PER_STEP;
+            while let Some((id, tokens)) = queue.front_mut().filter(|_| left > 0.0) {
                 let read = tokens.min(left);
                 (*tokens, left) = (*tokens - read, left - read);
                 if *tokens <= 0.0 {
-                    let asked: &Asked = &open[id];
+                    let asked: &OpenRequest = &open[id];
                     assert!(*reader <= READERS);
                     events.push((asked.router, outcome(*id, asked.attempts - 1, Verdict::Read)));
-                    line.pop_front();
+                    queue.pop_front();
                 }
             }
         }
         for (at, event) in events {
-            let bench = &mut routers[at];
-            bench.now = (1_000 + step * 20) * MS;
-            acts.extend(bench.hear(event).into_iter().map(|act| (at, act)));
-            while let Some((at, act)) = acts.pop() {
-                let (id, answered) = match act {
+            let harness = &mut routers[at];
+            harness.now = (1_000 + step * 20) * MS;
+            actions.extend(harness.handle(event).into_iter().map(|action| (at, action)));
+            while let Some((at, action)) = actions.pop() {
+                let (id, answered) = match action {
                     Action::Send { request, server, .. } => {
                         let asked = open.get_mut(&request.0).unwrap();
                         asked.attempts += 1;
                         if server.0 <= READERS {
-                            lines.entry(server.0).or_default().push_back((request.0, asked.tokens));
+                            queues.entry(server.0).or_default().push_back((request.0, asked.tokens));
                             continue;
                         }
                         // Writers have room and answer at once.
                         let last = asked.attempts - 1;
-                        let mut more = routers[at].first(request.0, last);
-                        more.extend(routers[at].end(request.0, last, Verdict::Ok));
-                        acts.extend(more.into_iter().map(|act| (at, act)));
+                        let mut more = routers[at].first_token(request.0, last);
+                        more.extend(routers[at].end_attempt(request.0, last, Verdict::Ok));
+                        actions.extend(more.into_iter().map(|action| (at, action)));
                         (request.0, 1.0)
                     }
                     Action::Refuse { request, .. } | Action::Fail(request) => (request.0, 0.0),
@@ -123,7 +126,7 @@
                     (part.0, part.1) = (part.0 + 1.0, part.1 + answered);
                 };
                 note(format!("class {}", asked.class));
-                note(format!("customer {}", asked.tenant));
+                note(format!("tenant {}", asked.tenant));
                 note(if asked.long { "long" } else { "short" }.to_owned());
                 note(format!("session {}", asked.session));
                 note("all".to_owned());
@@ -151,30 +154,30 @@
 }
 
 #[test]
-fn every_class_customer_and_long_prompt_gets_its_part_under_overload() {
+fn overload_leaves_every_class_tenant_and_long_prompt_a_share() {
     for count in [1, 12] {
-        let parts = play(count, 0.05, Span::from_millis(60));
+        let parts = simulate_overload(count, 0.05, Span::from_millis(60));
         let all = part(&parts, "all");
-        assert!((0.3..0.95).contains(&all), "{count} routers: it is an overload: {parts:?}");
+        assert!((0.3..0.95).contains(&all), "{count} routers: not an overload: {parts:?}");
         for (kind, least) in [("class 0", 0.5), ("class 1", 0.5), ("class 2", 0.5), ("long", 1.0 / 3.0)] {
             let got = part(&parts, kind);
             assert!(got >= all * least, "{count} routers, {kind}: {got} of {all}: {parts:?}");
         }
-        // Who keeps to its share is served before what another asks for beyond its own.
-        let (inside, beyond) = (part(&parts, "customer 0"), part(&parts, "customer 1"));
+        // A tenant within its quota is served before requests beyond a quota.
+        let (inside, beyond) = (part(&parts, "tenant 0"), part(&parts, "tenant 1"));
         assert!(inside > beyond + 0.1, "{count} routers: {inside}, {beyond}");
     }
 }
 
-/// What the test above rests on, taken away: beyond its share a customer counts as any other.
+/// Control for the test above: without a lower worth beyond the quota the flooding tenant is served alike.
 #[test]
-fn without_shares_who_floods_is_served_alike() {
-    let parts = play(1, 1.0, Span::from_millis(60));
-    assert!(part(&parts, "customer 0") <= part(&parts, "customer 1") + 0.1, "{parts:?}");
+fn without_quota_penalty_a_flooding_tenant_is_served_alike() {
+    let parts = simulate_overload(1, 1.0, Span::from_millis(60));
+    assert!(part(&parts, "tenant 0") <= part(&parts, "tenant 1") + 0.1, "{parts:?}");
 }
 
-/// The part of the sessions whose turns were all refused, less what chance gives where each turn has the same prospect.
-fn refused_throughout(parts: &Parts) -> f64 {
+/// Share of the sessions with all turns refused, less the share expected if turns are refused independently.
+fn fully_refused_sessions(parts: &Parts) -> f64 {
     let sessions: Vec<_> = parts.iter().filter(|(kind, _)| kind.starts_with("session")).collect();
     let all = sessions.iter().filter(|(_, (_, answered))| *answered == 0.0).count() as f64;
     let refused = 1.0 - part(parts, "all");
@@ -182,36 +185,36 @@
     (all - chance) / sessions.len() as f64
 }
 
-/// On a quiet day hardly anybody is refused: not the longest prompts, no class and no session, with customers told and
-/// without. Guards against an order that leaves the same ones to the last while there is room.
+/// With low load hardly any request is refused, whatever its length, class or session, with and without tenants.
+/// Guards against a queue order that always serves the same requests last although there is room.
 #[test]
-fn on_a_quiet_day_nobody_is_singled_out() {
+fn low_load_refuses_no_kind_of_request() {
     for (count, tenants) in [(1, true), (1, false), (12, true), (12, false)] {
-        let parts = play_at(QUIET, tenants, count, 0.05, Span::from_millis(60));
-        let what = format!("{count} routers, customers {tenants}");
+        let parts = simulate(LOW_RATE, tenants, count, 0.05, Span::from_millis(60));
+        let case = format!("{count} routers, tenants {tenants}");
         let all = part(&parts, "all");
-        assert!(all > 0.95, "{what}: it is a quiet day: {all}");
+        assert!(all > 0.95, "{case}: not low load: {all}");
         for kind in ["class 0", "class 1", "class 2", "long", "short"] {
-            assert!(part(&parts, kind) >= all * 0.9, "{what}, {kind}: {} of {all}", part(&parts, kind));
+            assert!(part(&parts, kind) >= all * 0.9, "{case}, {kind}: {} of {all}", part(&parts, kind));
         }
-        let throughout = refused_throughout(&parts);
-        assert!(throughout <= 0.02, "{what}: {throughout} of the sessions are refused throughout");
+        let fully_refused = fully_refused_sessions(&parts);
+        assert!(fully_refused <= 0.02, "{case}: {fully_refused} of the sessions are refused in all turns");
     }
 }
 
-/// Under overload, too, the longest prompts get half of what the others get, with customers told and without, and turns
-/// are refused by chance rather than by session.
+/// Under overload long prompts are answered at least half as often as all requests, with and without tenants, and
+/// turns are refused by chance instead of by session.
 #[test]
-fn under_overload_long_prompts_get_half_and_no_sessions_are_singled_out() {
+fn overload_spares_long_prompts_and_sessions() {
     for (count, tenants) in [(1, true), (1, false), (12, true), (12, false)] {
-        // Without customers nothing but worth and size tells requests apart.
-        let parts = play_at(RATE, tenants, count, 1.0, Span::from_millis(60));
-        let what = format!("{count} routers, customers {tenants}");
+        // Requests differ in worth and size only, not by quota.
+        let parts = simulate(OVERLOAD_RATE, tenants, count, 1.0, Span::from_millis(60));
+        let case = format!("{count} routers, tenants {tenants}");
         let (all, long) = (part(&parts, "all"), part(&parts, "long"));
-        println!("{what}: all {all}, long {long}, {}", refused_throughout(&parts));
-        assert!((0.3..0.95).contains(&all), "{what}: it is an overload: {all}");
-        assert!(long >= all * 0.5, "{what}: {long} of {all}");
-        let throughout = refused_throughout(&parts);
-        assert!(throughout <= 0.12, "{what}: {throughout} of the sessions are refused throughout");
+        println!("{case}: all {all}, long {long}, {}", fully_refused_sessions(&parts));
+        assert!((0.3..0.95).contains(&all), "{case}: not an overload: {all}");
+        assert!(long >= all * 0.5, "{case}: {long} of {all}");
+        let fully_refused = fully_refused_sessions(&parts);
+        assert!(fully_refused <= 0.12, "{case}: {fully_refused} of the sessions are refused in all turns");
     }
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,37 +1,37 @@
-//! Servers that fall silent: found out by all calls together, tried by one call at a time, and heard again.
+//! Silent servers: detection from all unanswered attempts together, half-open probes one at a time, and recovery.
 
 mod common;
 
 use common::*;
 use shedrelay::*;
 
-/// How long an answer usually takes to begin here.
+/// Usual time until an answer begins.
 const USUAL_MS: u64 = 20;
 
-/// Streams that go on at once, most of the time.
+/// Number of concurrent streams.
 const STREAMS: usize = 12;
 
-/// Two readers, three writers, and answers enough to know what is usual.
-fn bench(effect: Effect) -> Bench {
+/// Two readers, three writers, and enough answers that latencies are known.
+fn warmed_up(effect: Effect) -> Harness {
     let writers = (11..14).map(|writer| member(writer, 1, 0));
     let members = [member(1, 0, 0), member(2, 0, 0)].into_iter().chain(writers).collect();
-    let mut bench = Bench::new(settings(effect), members);
+    let mut harness = Harness::new(settings(effect), members);
     for id in 1..=40 {
-        read(&mut bench, id);
-        bench.now += USUAL_MS * MS;
-        bench.first(id, 1);
-        bench.end(id, 1, Verdict::Ok);
+        read_request(&mut harness, id);
+        harness.now += USUAL_MS * MS;
+        harness.first_token(id, 1);
+        harness.end_attempt(id, 1, Verdict::Ok);
     }
-    bench
+    harness
 }
 
-/// A request is read; the writer that it goes to, if any.
-fn read(bench: &mut Bench, id: u64) -> Option<u64> {
-    if sent_to(&bench.ask(id, None)).is_empty() {
+/// Sends a request through its read; returns the writer that it goes to, if any.
+fn read_request(harness: &mut Harness, id: u64) -> Option<u64> {
+    if sent_to(&harness.request(id, None)).is_empty() {
         return None;
     }
-    bench.now += MS;
-    sent_to(&bench.end(id, 0, Verdict::Read)).first().copied()
+    harness.now += MS;
+    sent_to(&harness.end_attempt(id, 0, Verdict::Read)).first().copied()
 }
 
 fn cancelled(actions: &[Action]) -> Vec<u64> {
@@ -42,15 +42,15 @@
     actions.iter().filter_map(of).collect()
 }
 
-/// Asks every 10 ms for so long; calls to `silent` get no answer, all others do. The requests that went there.
-fn ask_while_silent(bench: &mut Bench, first: u64, ms: u64, silent: &[u64]) -> Vec<u64> {
-    let (mut swallowed, mut streams) = (Vec::new(), std::collections::VecDeque::new());
+/// Sends a request every 10 ms; writers in `silent` do not answer. Returns the requests sent to those.
+fn send_with_silent_writers(harness: &mut Harness, first: u64, ms: u64, silent: &[u64]) -> Vec<u64> {
+    let (mut unanswered, mut streams) = (Vec::new(), std::collections::VecDeque::new());
     for id in first..first + ms / 10 {
-        match read(bench, id) {
-            Some(writer) if silent.contains(&writer) => swallowed.push(id),
-            // Its stream goes on for a while, so that all writers stay about as full.
+        match read_request(harness, id) {
+            Some(writer) if silent.contains(&writer) => unanswered.push(id),
+            // Streams go on for a while, so that all writers stay about equally full.
             Some(_) => {
-                bench.first(id, 1);
+                harness.first_token(id, 1);
                 streams.push_back(id);
             }
             None => {}
@@ -58,215 +58,217 @@
         if streams.len() > STREAMS
             && let Some(done) = streams.pop_front()
         {
-            bench.end(done, 1, Verdict::Ok);
+            harness.end_attempt(done, 1, Verdict::Ok);
         }
-        bench.wait(20);
-        bench.now -= 11 * MS;
+        harness.advance(20);
+        harness.now -= 11 * MS;
     }
-    streams.into_iter().for_each(|id| drop(bench.end(id, 1, Verdict::Ok)));
-    swallowed
+    streams.into_iter().for_each(|id| drop(harness.end_attempt(id, 1, Verdict::Ok)));
+    unanswered
 }
 
 #[test]
-fn a_writer_that_owes_answers_and_says_nothing_is_found_in_a_fraction_of_a_second() {
-    let mut bench = bench(Effect::Safe);
-    let swallowed = ask_while_silent(&mut bench, 100, 1_000, &[11]);
-    assert!((1..20).contains(&swallowed.len()), "{swallowed:?}");
-    let off = cancelled(&bench.log);
-    assert!(swallowed.iter().all(|id| off.contains(id)), "{off:?} of {swallowed:?}");
-    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
+fn silent_writer_is_excluded_within_a_fraction_of_a_second() {
+    let mut harness = warmed_up(Effect::Safe);
+    let unanswered = send_with_silent_writers(&mut harness, 100, 1_000, &[11]);
+    assert!((1..20).contains(&unanswered.len()), "{unanswered:?}");
+    let cancelled_ids = cancelled(&harness.actions);
+    assert!(unanswered.iter().all(|id| cancelled_ids.contains(id)), "{cancelled_ids:?} of {unanswered:?}");
+    assert_eq!(harness.router.excluded_servers(Time(harness.now)), 1);
 }
 
 #[test]
-fn what_may_run_only_once_is_not_called_off() {
-    let mut bench = bench(Effect::Unsafe);
-    let swallowed = ask_while_silent(&mut bench, 100, 1_000, &[11]);
-    assert!((1..20).contains(&swallowed.len()), "{swallowed:?}");
-    assert!(cancelled(&bench.log).is_empty());
+fn unsafe_requests_at_a_silent_writer_are_not_cancelled() {
+    let mut harness = warmed_up(Effect::Unsafe);
+    let unanswered = send_with_silent_writers(&mut harness, 100, 1_000, &[11]);
+    assert!((1..20).contains(&unanswered.len()), "{unanswered:?}");
+    assert!(cancelled(&harness.actions).is_empty());
 }
 
 #[test]
-fn a_silent_writer_is_tried_by_one_call_at_a_time() {
-    let mut bench = bench(Effect::Safe);
-    for id in ask_while_silent(&mut bench, 100, 600, &[11]) {
-        if !sent_to(&bench.end(id, 1, Verdict::Cancelled)).is_empty() {
-            bench.first(id, 2);
-            bench.end(id, 2, Verdict::Ok);
+fn silent_writer_is_probed_with_one_request_at_a_time() {
+    let mut harness = warmed_up(Effect::Safe);
+    for id in send_with_silent_writers(&mut harness, 100, 600, &[11]) {
+        if !sent_to(&harness.end_attempt(id, 1, Verdict::Cancelled)).is_empty() {
+            harness.first_token(id, 2);
+            harness.end_attempt(id, 2, Verdict::Ok);
         }
     }
-    // Most of what speaks against it is forgiven, and it may be tried again; nobody answers.
-    bench.wait(30_000);
-    let tried = ask_while_silent(&mut bench, 1_000, 1_500, &[11]);
+    // Its faults have decayed, so it may be tried again; it still does not answer.
+    harness.advance(30_000);
+    let tried = send_with_silent_writers(&mut harness, 1_000, 1_500, &[11]);
     assert_eq!(tried.len(), 1, "{tried:?}");
-    // The call comes back after all: it is well.
-    bench.first(tried[0], 1);
-    bench.end(tried[0], 1, Verdict::Ok);
-    let writers: Vec<_> = (2_000..2_040).filter_map(|id| read(&mut bench, id)).collect();
+    // The attempt is answered after all: the server is used again.
+    harness.first_token(tried[0], 1);
+    harness.end_attempt(tried[0], 1, Verdict::Ok);
+    let writers: Vec<_> = (2_000..2_040).filter_map(|id| read_request(&mut harness, id)).collect();
     assert!(writers.iter().filter(|writer| **writer == 11).count() > 3, "{writers:?}");
 }
 
-/// The only writer did not come up. What may run only once does not try it, and is not even read, until it has been left
-/// alone for long.
+/// After a failed connection to the only writer, a request that may run only once does not probe it, and is not even
+/// read, until the writer had no request for a long time.
 #[test]
-fn requests_that_may_run_only_once_try_no_silent_writer_at_first() {
+fn unsafe_requests_do_not_probe_an_excluded_writer_at_first() {
     let tries = |effect: Effect, after_ms: u64| {
-        let mut bench = Bench::new(settings(effect), vec![member(1, 0, 0), member(11, 1, 0)]);
-        assert_eq!(read(&mut bench, 1), Some(11));
-        bench.end(1, 1, Verdict::NoRoute);
-        bench.wait(after_ms);
-        sent_to(&bench.ask(2, None)) == [1]
+        let mut harness = Harness::new(settings(effect), vec![member(1, 0, 0), member(11, 1, 0)]);
+        assert_eq!(read_request(&mut harness, 1), Some(11));
+        harness.end_attempt(1, 1, Verdict::NoRoute);
+        harness.advance(after_ms);
+        sent_to(&harness.request(2, None)) == [1]
     };
     assert!(tries(Effect::Safe, 2_000));
     assert!(!tries(Effect::Unsafe, 2_000));
-    assert!(tries(Effect::Unsafe, 9_000), "where nothing else is asked it has to be found well in the end");
+    assert!(tries(Effect::Unsafe, 9_000), "without other requests it must be probed in the end");
 }
 
-/// Cuts take several servers at once: once one has fallen silent, one call says enough of its peer.
+/// Network cuts affect several servers at once, so after one is found silent one late attempt excludes a peer.
 #[test]
-fn one_call_says_enough_of_a_silent_writers_peer() {
-    let peers_found = |after_cut_ms: u64| {
-        let mut bench = bench(Effect::Safe);
-        (100..115).for_each(|id| assert!(read(&mut bench, id).is_some()));
-        bench.wait(140);
-        [12, 13].into_iter().for_each(|peer| drop(bench.hear(Event::Activity(ServerId(peer)))));
-        bench.wait(100);
-        assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
-        bench.wait(after_cut_ms);
-        assert!(read(&mut bench, 1_000).is_some());
-        bench.wait(240);
-        bench.router.excluded_servers(Time(bench.now)) - 1
+fn one_late_attempt_excludes_a_silent_writers_peer() {
+    let peers_excluded = |after_cut_ms: u64| {
+        let mut harness = warmed_up(Effect::Safe);
+        (100..115).for_each(|id| assert!(read_request(&mut harness, id).is_some()));
+        harness.advance(140);
+        [12, 13].into_iter().for_each(|peer| drop(harness.handle(Event::Activity(ServerId(peer)))));
+        harness.advance(100);
+        assert_eq!(harness.router.excluded_servers(Time(harness.now)), 1);
+        harness.advance(after_cut_ms);
+        assert!(read_request(&mut harness, 1_000).is_some());
+        harness.advance(240);
+        harness.router.excluded_servers(Time(harness.now)) - 1
     };
-    assert_eq!(peers_found(0), 1);
-    assert_eq!(peers_found(1_100), 0, "long after the cut it may be a long one");
+    assert_eq!(peers_excluded(0), 1);
+    assert_eq!(peers_excluded(1_100), 0, "long after the cut one late attempt may just be long");
 }
 
 #[test]
-fn a_writer_whose_streams_go_on_is_not_silent() {
-    let mut bench = bench(Effect::Safe);
+fn writer_with_active_streams_is_not_excluded() {
+    let mut harness = warmed_up(Effect::Safe);
     for id in 100..160 {
-        read(&mut bench, id);
-        bench.hear(Event::Activity(ServerId(11)));
-        bench.hear(Event::Activity(ServerId(12)));
-        bench.hear(Event::Activity(ServerId(13)));
-        bench.wait(20);
+        read_request(&mut harness, id);
+        harness.handle(Event::Activity(ServerId(11)));
+        harness.handle(Event::Activity(ServerId(12)));
+        harness.handle(Event::Activity(ServerId(13)));
+        harness.advance(20);
     }
-    assert!(cancelled(&bench.log).is_empty() && bench.router.excluded_servers(Time(bench.now)) == 0);
+    assert!(
+        cancelled(&harness.actions).is_empty() && harness.router.excluded_servers(Time(harness.now)) == 0
+    );
 }
 
 #[test]
-fn one_word_ends_a_trial() {
-    let mut bench = bench(Effect::Safe);
-    ask_while_silent(&mut bench, 100, 600, &[11]);
-    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
-    bench.hear(Event::Activity(ServerId(11)));
-    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 0);
+fn sign_of_life_ends_an_exclusion() {
+    let mut harness = warmed_up(Effect::Safe);
+    send_with_silent_writers(&mut harness, 100, 600, &[11]);
+    assert_eq!(harness.router.excluded_servers(Time(harness.now)), 1);
+    harness.handle(Event::Activity(ServerId(11)));
+    assert_eq!(harness.router.excluded_servers(Time(harness.now)), 0);
 }
 
 #[test]
-fn writers_that_are_slow_as_usual_are_waited_for() {
-    let mut bench = bench(Effect::Safe);
-    // All take half a second from now on; what is usual follows.
+fn uniformly_slow_writers_are_not_excluded() {
+    let mut harness = warmed_up(Effect::Safe);
+    // All answers take half a second from now on, and the usual latency follows.
     let mut out: Vec<(u64, u64)> = Vec::new();
     for id in 100..400 {
-        if read(&mut bench, id).is_some() {
-            out.push((id, bench.now + 500 * MS));
+        if read_request(&mut harness, id).is_some() {
+            out.push((id, harness.now + 500 * MS));
         }
-        bench.wait(20);
-        while out.first().is_some_and(|(_, due)| *due <= bench.now) {
+        harness.advance(20);
+        while out.first().is_some_and(|(_, due)| *due <= harness.now) {
             let (done, _) = out.remove(0);
-            bench.first(done, 1);
-            bench.end(done, 1, Verdict::Ok);
+            harness.first_token(done, 1);
+            harness.end_attempt(done, 1, Verdict::Ok);
         }
     }
-    let off = cancelled(&bench.log);
-    assert!(off.iter().all(|id| *id < 200), "only until it is known: {off:?}");
-    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 0);
+    let cancelled_ids = cancelled(&harness.actions);
+    assert!(cancelled_ids.iter().all(|id| *id < 200), "only until the latency is known: {cancelled_ids:?}");
+    assert_eq!(harness.router.excluded_servers(Time(harness.now)), 0);
 }
 
 #[test]
-fn a_process_that_was_held_up_calls_nobody_silent() {
-    let mut bench = bench(Effect::Safe);
-    (100..112).for_each(|id| assert!(read(&mut bench, id).is_some()));
-    bench.wait(20);
-    bench.now += 400 * MS;
-    bench.hear(Event::Timer(TimerId(1)));
-    assert!(cancelled(&bench.log).is_empty());
+fn stalled_router_excludes_no_server() {
+    let mut harness = warmed_up(Effect::Safe);
+    (100..112).for_each(|id| assert!(read_request(&mut harness, id).is_some()));
+    harness.advance(20);
+    harness.now += 400 * MS;
+    harness.handle(Event::Timer(TimerId(1)));
+    assert!(cancelled(&harness.actions).is_empty());
 }
 
-/// Its state was let go of: once its call has ended, the request is read again and not sent to a writer that has nothing
-/// to fetch.
+/// After its state was released, a request must be read again instead of being sent to a writer that has nothing to
+/// fetch.
 #[test]
-fn a_request_whose_state_was_released_is_read_again() {
-    let mut bench = bench(Effect::Safe);
-    let writer = read(&mut bench, 100).expect("a writer");
-    bench.wait(500);
-    let acts = bench.hear(Event::LeaseReleased(RequestId(100)));
-    assert_eq!(cancelled(&acts), [100], "nothing was heard of it");
-    let next = sent_to(&bench.end(100, 1, Verdict::Cancelled));
+fn request_with_released_state_is_read_again() {
+    let mut harness = warmed_up(Effect::Safe);
+    let writer = read_request(&mut harness, 100).expect("a writer");
+    harness.advance(500);
+    let actions = harness.handle(Event::LeaseReleased(RequestId(100)));
+    assert_eq!(cancelled(&actions), [100], "no sign of life");
+    let next = sent_to(&harness.end_attempt(100, 1, Verdict::Cancelled));
     assert!(next == [1] || next == [2], "{next:?}");
-    assert_ne!(sent_to(&bench.end(100, 2, Verdict::Read)), [writer]);
+    assert_ne!(sent_to(&harness.end_attempt(100, 2, Verdict::Read)), [writer]);
 }
 
-/// Where no writer may be used a request waits for one, as long as it may be read again.
+/// Without a usable writer a request waits for one, as long as it may be read again.
 #[test]
-fn a_request_without_a_writer_waits_in_line() {
-    let mut bench = bench(Effect::Safe);
-    let first = read(&mut bench, 100).expect("a writer");
-    let second = sent_to(&bench.end(100, 1, Verdict::NoRoute))[0];
-    assert!(read(&mut bench, 101).is_some_and(|third| third != first));
-    bench.end(100, 2, Verdict::NoRoute);
-    let acts = bench.end(101, 1, Verdict::NoRoute);
-    assert!(!refused(&acts) && sent_to(&acts).is_empty() && released(&acts), "{acts:?}");
-    bench.hear(Event::Activity(ServerId(second)));
-    let acts = bench.wait(60);
-    let read_again = |act: &Action| matches!(act, Action::Send { request: RequestId(101), .. });
-    assert!(acts.iter().any(read_again), "{acts:?}");
+fn request_without_a_usable_writer_waits_in_the_queue() {
+    let mut harness = warmed_up(Effect::Safe);
+    let first = read_request(&mut harness, 100).expect("a writer");
+    let second = sent_to(&harness.end_attempt(100, 1, Verdict::NoRoute))[0];
+    assert!(read_request(&mut harness, 101).is_some_and(|third| third != first));
+    harness.end_attempt(100, 2, Verdict::NoRoute);
+    let actions = harness.end_attempt(101, 1, Verdict::NoRoute);
+    assert!(!refused(&actions) && sent_to(&actions).is_empty() && released(&actions), "{actions:?}");
+    harness.handle(Event::Activity(ServerId(second)));
+    let actions = harness.advance(60);
+    let read_again = |action: &Action| matches!(action, Action::Send { request: RequestId(101), .. });
+    assert!(actions.iter().any(read_again), "{actions:?}");
 }
 
-/// What a silent writer was sent goes to its peers: one that has said nothing since gets few calls until it does.
+/// A silent writer's requests go to its peers, which may be affected too: each gets few attempts until a sign of life.
 #[test]
-fn a_peer_of_a_silent_writer_gets_few_calls_until_it_says_something() {
-    let calls_at_once = |heard: bool| {
-        let mut bench = bench(Effect::Safe);
-        (100..115).for_each(|id| assert!(read(&mut bench, id).is_some()));
-        bench.wait(140);
-        let peers_talk = |bench: &mut Bench| {
+fn peer_of_a_silent_writer_gets_few_attempts_until_a_sign_of_life() {
+    let attempts_at_peer = |heard: bool| {
+        let mut harness = warmed_up(Effect::Safe);
+        (100..115).for_each(|id| assert!(read_request(&mut harness, id).is_some()));
+        harness.advance(140);
+        let peers_show_life = |harness: &mut Harness| {
             [12, 13]
                 .into_iter()
-                .for_each(|peer| assert!(bench.hear(Event::Activity(ServerId(peer))).is_empty()))
+                .for_each(|peer| assert!(harness.handle(Event::Activity(ServerId(peer))).is_empty()))
         };
-        peers_talk(&mut bench);
-        bench.wait(100);
-        assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
+        peers_show_life(&mut harness);
+        harness.advance(100);
+        assert_eq!(harness.router.excluded_servers(Time(harness.now)), 1);
         if heard {
-            peers_talk(&mut bench);
+            peers_show_life(&mut harness);
         }
-        let writers: Vec<u64> = (1_000..1_040).filter_map(|id| read(&mut bench, id)).collect();
+        let writers: Vec<u64> = (1_000..1_040).filter_map(|id| read_request(&mut harness, id)).collect();
         writers.iter().filter(|writer| **writer == 12).count()
     };
-    let (few, more) = (calls_at_once(false), calls_at_once(true));
+    let (few, more) = (attempts_at_peer(false), attempts_at_peer(true));
     assert!((1..=6).contains(&few) && more > 6, "{few} and {more}");
 }
 
-/// A stream that ends since its client left is no sign of life of its server.
+/// The end of a stream because its client left is no sign of life of the server.
 #[test]
-fn a_client_that_leaves_a_silent_writers_stream_does_not_speak_for_it() {
-    let mut bench = bench(Effect::Safe);
-    // Streams at all three, and a few calls that the silent one owes an answer to.
+fn leaving_client_is_no_sign_of_life_of_its_writer() {
+    let mut harness = warmed_up(Effect::Safe);
+    // Streams at all three writers, and a few unanswered attempts at the silent one.
     let mut streams = Vec::new();
     for id in 100..160 {
-        if let Some(writer) = read(&mut bench, id) {
-            bench.first(id, 1);
+        if let Some(writer) = read_request(&mut harness, id) {
+            harness.first_token(id, 1);
             streams.extend((writer == 11).then_some(id));
         }
     }
-    let owed = (200..215).filter(|id| read(&mut bench, *id) == Some(11)).count();
-    assert!(streams.len() > 13 && owed >= 3, "{streams:?}, {owed} calls");
+    let unanswered = (200..215).filter(|id| read_request(&mut harness, *id) == Some(11)).count();
+    assert!(streams.len() > 13 && unanswered >= 3, "{streams:?}, {unanswered} attempts");
     for left in streams.into_iter().take(13) {
-        [12, 13].into_iter().for_each(|peer| drop(bench.hear(Event::Activity(ServerId(peer)))));
-        bench.hear(Event::ClientLeft(RequestId(left)));
-        bench.end(left, 1, Verdict::Ok);
-        bench.wait(20);
+        [12, 13].into_iter().for_each(|peer| drop(harness.handle(Event::Activity(ServerId(peer)))));
+        harness.handle(Event::ClientLeft(RequestId(left)));
+        harness.end_attempt(left, 1, Verdict::Ok);
+        harness.advance(20);
     }
-    assert_eq!(bench.router.excluded_servers(Time(bench.now)), 1);
+    assert_eq!(harness.router.excluded_servers(Time(harness.now)), 1);
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,8 +1,8 @@
-//! The limits that the readers of the decisions set.
+//! Limits on the source files of the decisions, for the sake of their readers.
 
 use std::path::{Path, PathBuf};
 
-/// The files of the decisions, which the deploy file names too.
+/// Source files of the decisions, which the deploy file must list.
 fn policy_files() -> Vec<(PathBuf, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = vec![root.join("src/logic.rs")];
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_file_of_decisions_stays_within_950_lines_of_110_columns() {
+fn decision_files_have_at_most_950_lines_of_110_columns() {
     for (path, text) in policy_files() {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(lines <= 950, "{}: {lines} lines", path.display());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_each_file_of_decisions() {
+fn deploy_file_lists_all_decision_files() {
     let deploy = include_str!("../deploy/balancer.toml");
     let line = deploy.lines().find(|line| line.starts_with("policy = ")).expect("policy");
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn constants_that_the_design_page_names_exist() {
+fn constants_named_on_the_design_page_exist() {
     let page = include_str!("../docs/design.md");
     let module: String = policy_files().into_iter().map(|(_, text)| text).collect();
     let constant = |name: &&str| {
