--- a/src/interface.rs
+++ b/src/interface.rs
@@ -190,7 +190,7 @@
     pub aim: Span,
     /// Added to the aim per 1,000 prompt tokens.
     pub aim_per_1000: Span,
-    /// Worth of a request, by which queued requests are ordered.
+    /// Worth of a request; the queue serves requests of most worth for their work first.
     pub worth: f64,
     /// Effect of running a request twice.
     pub effect: Effect,
@@ -237,7 +237,7 @@
     pub writers_read: bool,
     /// Factor on the worth of a request beyond its tenant's quota.
     pub over_share_worth: f64,
-    /// Limits for cold servers: what servers can take after their start.
+    /// Limits for cold servers.
     pub rules: Rules,
     /// Machine kinds.
     pub kinds: Vec<Kind>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -43,9 +43,9 @@
 const UNREAD: f64 = 24.0;
 /// Time without new requests for a server that rejected one as full, so that it is not flooded.
 const FULL_PAUSE: Span = Span::from_millis(250);
-/// An attempt is late after this many times its role's current latency, but see `PATIENCE_AIM`.
+/// An attempt is late after this many times its role's current latency, if that is past `PATIENCE_AIM` too.
 const PATIENCE: f64 = 12.0;
-/// Multiple of the aim before which no attempt counts as late.
+/// Multiple of its aim before which no attempt is late.
 const PATIENCE_AIM: f64 = 2.0;
 /// EWMA weight of a new latency sample: about the last ten samples count.
 const EWMA: f64 = 0.1;
@@ -200,6 +200,7 @@
     waiting: Vec<RequestId>,
     /// Recent requests per shared prefix.
     popularity: Popular,
+    /// Most servers ever listed at once, by role.
     max_listed: [usize; 3],
     quotas: Vec<Quota>,
     pools: [Pool; 3],
