--- a/fleet/src/popularity.rs
+++ b/fleet/src/popularity.rs
@@ -71,7 +71,7 @@
     }
 
     /// Recent requests a second. `since` is a time in seconds before the first request.
-    pub fn request_rate(&self, now: f64, since: f64) -> f64 {
+    pub fn rate(&self, now: f64, since: f64) -> f64 {
         let seen = 1.0 - 0.5f64.powf((now - since).max(1.0) / self.half_life);
         decayed(self.all, now, self.half_life) * std::f64::consts::LN_2 / self.half_life / seen
     }
@@ -130,10 +130,10 @@
     fn request_rate_is_accurate_early_and_follows_changes() {
         let mut popular = Popularity::new(20.0, 100);
         (0..50u32).for_each(|n| popular.record(100.0 + f64::from(n) * 0.1, None));
-        assert!((8.0..12.0).contains(&popular.request_rate(105.0, 100.0)));
+        assert!((8.0..12.0).contains(&popular.rate(105.0, 100.0)));
         (0..1_000u32).for_each(|n| popular.record(105.0 + f64::from(n) * 0.1, Some(1)));
-        assert!((9.0..11.0).contains(&popular.request_rate(205.0, 100.0)));
-        assert!(popular.request_rate(265.0, 100.0) < 2.0);
+        assert!((9.0..11.0).contains(&popular.rate(205.0, 100.0)));
+        assert!(popular.rate(265.0, 100.0) < 2.0);
     }
 
     /// Routers with three requests a second each, with 60 or 3,000 prefixes that are equally frequent.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -8,12 +8,10 @@
 use fawnstream_attempts::Attempts;
 use fawnstream_fleet::math::{blend, fraction, mix};
 use fawnstream_fleet::reachability::{Contact, Reachability, View};
+use fawnstream_fleet::slow_start::younger_share;
 use fawnstream_fleet::{
     AdaptiveLimit, Cell, ColdBucket, FaultScore, LoadReport, Popularity, PrefixCache, Quota, ServerAllowance,
-    SlowStart,
-};
-use fawnstream_fleet::{
-    adaptive_limit, best, cells, load_report, prefix_cache, rendezvous, slow_start::younger_share,
+    SlowStart, adaptive_limit, best, cells, load_report::mean_load, prefix_cache, rendezvous,
 };
 use std::{cell::OnceCell, collections::BTreeMap, time::Duration};
 
@@ -21,59 +19,59 @@
 mod slow_start;
 
 /// Homes that a prefix gets, besides its first, for each reader's even share of all requests that it takes.
-const HOMES: f64 = 4.0;
+const HOMES_PER_SHARE: f64 = 4.0;
 /// Interval at which queued requests and silent servers are checked; well below any aim or release time.
 const TICK: Span = Span::from_millis(40);
 /// A gap between two ticks of more than this many intervals means that this process was stalled.
-const HELD_UP: f64 = 2.5;
+const STALL_TICKS: f64 = 2.5;
 /// A queued request is answered this long before its client gives up, so that the answer arrives in time.
 const ANSWER_MARGIN: Span = Span::from_millis(60);
 /// Share of a writer's memory by which another cell's writer must have more room: moving state is expensive.
-const FAR_MARGIN: f64 = 0.35;
+const CELL_MARGIN: f64 = 0.35;
 /// Memory in tokens where the settings give none; only ratios between servers matter then.
-const UNTOLD_MEMORY: f64 = 150_000.0;
+const DEFAULT_MEMORY: f64 = 150_000.0;
 /// Share of a mixed server's memory that counts for writing, since it also spends time on reading.
-const MIXED_ROOM: f64 = 0.6;
+const MIXED_MEMORY: f64 = 0.6;
 /// Bias of a session towards or away from mixed servers, against fullness in [0, 1].
-const LEANING: f64 = 0.2;
+const MIXED_BIAS: f64 = 0.2;
 /// Share of its aim that a request may wait, however slow the servers are now.
-const LEAST_WAIT: f64 = 0.3;
+const MIN_WAIT: f64 = 0.3;
 /// Initial limit of tokens at writers, as a share of their memory, over all routers.
-const START_FILL: f64 = 0.9;
+const INITIAL_FILL: f64 = 0.9;
 /// Initial limit of reads per reader: most readers read a few prompts at once and queue some.
-const START_READS: f64 = 12.0;
+const INITIAL_READS: f64 = 12.0;
 /// Share of the aim after which a read or a first token is late, which means that its servers are full.
-const LATE: f64 = 0.45;
+const LATE_SHARE: f64 = 0.45;
 /// A writer reads a prompt itself only where there is room for this many such requests.
-const UNREAD: f64 = 24.0;
+const READ_ROOM: f64 = 24.0;
 /// Time without new requests for a server that rejected one as full, so that it is not flooded.
-const FULL_PAUSE: Span = Span::from_millis(250);
-/// An attempt is late after this many times its role's current latency, if that is past `PATIENCE_AIM` too.
-const PATIENCE: f64 = 12.0;
+const FULL_BACKOFF: Span = Span::from_millis(250);
+/// An attempt is late after this many times its role's current latency, if that is past `LATE_AIMS` too.
+const LATE_LATENCIES: f64 = 12.0;
 /// Multiple of its aim before which no attempt is late.
-const PATIENCE_AIM: f64 = 2.0;
+const LATE_AIMS: f64 = 2.0;
 /// EWMA weight of a new latency sample: about the last ten samples count.
-const EWMA: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 /// Ratio to the role's latency below which a slow answer is no fault.
-const SLOW_FROM: f64 = 1.6;
+const SLOW_RATIO: f64 = 1.6;
 /// Weight of a server's faults against cached share and room, each in [0, 1].
 const FAULT_WEIGHT: f64 = 1.5;
 /// Weight of a reader's load against the cached share: a repeated read takes capacity from all requests.
 const LOAD_WEIGHT: f64 = 0.5;
 /// Weight of uncached tokens of our reads in flight at a reader, per prompt token; no report has them yet.
-const BACKLOG: f64 = 0.15;
+const BACKLOG_WEIGHT: f64 = 0.15;
 /// A rollout is over when the list has shown no draining server for this long.
-const RELEASE_LASTS: Span = Span::from_millis(10_000);
+const ROLLOUT_WINDOW: Span = Span::from_millis(10_000);
 /// During a rollout the longest-running writer counts as fuller by this share of its memory.
-const RELEASE_WEIGHT: f64 = 0.3;
+const ROLLOUT_WEIGHT: f64 = 0.3;
 /// Time between probes of one server; reports are not refreshed much faster.
-const PROBE_EVERY: Span = Span::from_millis(700);
+const PROBE_INTERVAL: Span = Span::from_millis(700);
 /// Maximum probes per read, because probes cost.
-const PROBES: usize = 4;
+const MAX_PROBES: usize = 4;
 /// Below this share of the expected cached tokens a server has lost its cache, and its table is cleared.
-const VOID_SHARE: f64 = 0.5;
+const LOST_CACHE: f64 = 0.5;
 /// Backoff after a failed call for the list; doubles up to 16 times this.
-const LIST_RETRY: Span = Span::from_millis(500);
+const LIST_BACKOFF: Span = Span::from_millis(500);
 
 const TICK_TIMER: TimerId = TimerId(1);
 const LIST_TIMER: TimerId = TimerId(2);
@@ -100,7 +98,7 @@
     last_heard: Time,
     excluded_until: Time,
     next_exclusion: Span,
-    /// AdaptiveLimit on requests sent here while it is cold.
+    /// Limit on requests sent here while it is cold.
     allowance: Option<ServerAllowance>,
     /// Set while it was excluded and has not answered since.
     half_open: Option<silence::HalfOpen>,
@@ -225,13 +223,13 @@
 
 impl Server {
     fn new(member: &Member, kind: &Kind) -> Self {
-        let given = kind.memory_tokens.filter(|m| *m > 0.0).unwrap_or(UNTOLD_MEMORY);
-        let memory = if kind.role == Role::Mixed { given * MIXED_ROOM } else { given };
+        let given = kind.memory_tokens.filter(|m| *m > 0.0).unwrap_or(DEFAULT_MEMORY);
+        let memory = if kind.role == Role::Mixed { given * MIXED_MEMORY } else { given };
         Server {
             member: member.clone(),
             role: kind.role,
             memory,
-            next_exclusion: silence::FIRST_OUT,
+            next_exclusion: silence::FIRST_EXCLUSION,
             ..Server::default()
         }
     }
@@ -288,7 +286,7 @@
             limit_weight: 1.0,
             started: None,
             last_drain: None,
-            list_backoff: LIST_RETRY,
+            list_backoff: LIST_BACKOFF,
             last_tick: None,
             last_silence: [None; 3],
             now: Time(0),
@@ -343,14 +341,13 @@
     pub fn place_connection(&mut self, now: Time, among: &[ServerId]) -> Option<ServerId> {
         self.now = now;
         let reports = |role| self.servers.values().filter(move |s| s.role == role).map(|s| s.report);
-        let means =
-            [Role::Writer, Role::Mixed].map(|role| load_report::mean_load(self.secs(), reports(role)));
+        let means = [Role::Writer, Role::Mixed].map(|role| mean_load(self.secs(), reports(role)));
         let starts = [Role::Reader, Role::Writer, Role::Mixed].map(|role| self.start_times(role));
         let usable = |id: &ServerId| Some((*id, self.servers.get(id).filter(|s| s.usable(now))?));
         let reach = self.view();
         let score = |(id, server): (ServerId, &Server)| {
             let mean = means[usize::from(server.role == Role::Mixed)];
-            let risk = RELEASE_WEIGHT * younger_share(&starts[server.role as usize], &server.member.up_since);
+            let risk = ROLLOUT_WEIGHT * younger_share(&starts[server.role as usize], &server.member.up_since);
             (id, -risk - self.fullness(server, mean, &reach))
         };
         best(among.iter().filter_map(usable).map(score)).map(|(id, _)| id)
@@ -369,7 +366,7 @@
         match members {
             Members::Failed => {
                 out.push(Action::Timer { timer: LIST_TIMER, after: self.list_backoff });
-                self.list_backoff = (self.list_backoff + self.list_backoff).min(LIST_RETRY.times(16.0));
+                self.list_backoff = (self.list_backoff + self.list_backoff).min(LIST_BACKOFF.times(16.0));
                 return;
             }
             Members::Full(entries) => {
@@ -383,7 +380,7 @@
             let listed = self.servers.values().filter(|s| s.role == role && s.listed()).count();
             self.max_listed[role as usize] = self.max_listed[role as usize].max(listed);
         }
-        self.list_backoff = LIST_RETRY;
+        self.list_backoff = LIST_BACKOFF;
         self.send_waiting(false, out);
     }
 
@@ -454,7 +451,7 @@
         let worth = self.jobs[&id].worth;
         let first = self.waiting.partition_point(|other| self.jobs[other].worth > worth);
         let last = self.waiting.partition_point(|other| self.jobs[other].worth >= worth);
-        let late = |id: &RequestId| self.now >= self.jobs[id].arrived + self.jobs[id].aim.times(LEAST_WAIT);
+        let late = |id: &RequestId| self.now >= self.jobs[id].arrived + self.jobs[id].aim.times(MIN_WAIT);
         let newest_first = self.waiting[first..last].iter().any(late);
         self.waiting.insert(if newest_first { first } else { last }, id);
     }
@@ -506,7 +503,7 @@
     }
 
     fn initial_limit(&self, server: &Server) -> f64 {
-        let start = if server.role == Role::Reader { START_READS } else { START_FILL * server.memory };
+        let start = if server.role == Role::Reader { INITIAL_READS } else { INITIAL_FILL * server.memory };
         start * self.limit_weight
     }
 
@@ -554,7 +551,7 @@
     fn usable_servers<'a, 'l>(&'a self, role: Role, fleet: &'l Snapshot<'a>) -> &'l [Candidate<'a>] {
         fleet.usable[role as usize].get_or_init(|| {
             let peers = &fleet.by_role[role as usize];
-            let mean = load_report::mean_load(self.secs(), peers.iter().map(|(_, s)| s.report));
+            let mean = mean_load(self.secs(), peers.iter().map(|(_, s)| s.report));
             let (starts, others) = (self.start_times(role), f64::from(self.settings.routers).sqrt());
             // The more routers there are, the less one read of ours says about the load.
             let own = peers.iter().map(|(_, s)| f64::from(s.attempts)).sum::<f64>();
@@ -562,7 +559,7 @@
                 let penalty = FAULT_WEIGHT * self.penalty(server, &fleet.reach);
                 let load = self.load(server, f64::from(server.attempts) / (own + others), mean) + penalty;
                 let (fullness, warmth) = (self.fullness(server, mean, &fleet.reach), self.warmth(server));
-                let rollout_risk = RELEASE_WEIGHT * younger_share(&starts, &server.member.up_since);
+                let rollout_risk = ROLLOUT_WEIGHT * younger_share(&starts, &server.member.up_since);
                 Candidate { id, server, load, fullness, rollout_risk, warmth }
             };
             peers.iter().filter(|(_, s)| s.usable(self.now)).map(candidate).collect()
@@ -587,7 +584,7 @@
         let score = |c: &Candidate| {
             let cached = c.server.expected_cached(&job.request, self.now, homes.contains(&c.id.0)) / prompt;
             let tie = 1e-3 * fraction(session ^ mix(c.id.0));
-            let queued = c.server.uncached * BACKLOG / prompt;
+            let queued = c.server.uncached * BACKLOG_WEIGHT / prompt;
             (c.id, cached - LOAD_WEIGHT * c.load - queued + tie)
         };
         let (id, _) = best(among.iter().map(score))?;
@@ -604,7 +601,7 @@
             (c.id.0, cell.map_or(1.0, |cell| cell.reader_weight))
         };
         let part = self.popularity.likely_share(self.secs(), key.0);
-        let most = 1 + (part * HOMES * among.len() as f64) as usize;
+        let most = 1 + (part * HOMES_PER_SHARE * among.len() as f64) as usize;
         rendezvous(key.0, among.iter().map(weight), most)
     }
 
@@ -641,7 +638,7 @@
                 Some(cell) if cell != c.server.member.cell => 1.0 + 1e-3 * chance,
                 _ => 1e-3 * chance,
             };
-            (c.id, -c.rollout_risk - c.fullness - FAR_MARGIN * far)
+            (c.id, -c.rollout_risk - c.fullness - CELL_MARGIN * far)
         };
         best(among.iter().map(score))
     }
@@ -658,7 +655,7 @@
     /// Sorted start times of a role's listed servers; empty unless a rollout is under way. Rollouts replace
     /// the longest-running servers first, and streams break with their process.
     fn start_times(&self, role: Role) -> Vec<Option<Time>> {
-        let rollout = self.last_drain.filter(|at| self.now - *at <= RELEASE_LASTS);
+        let rollout = self.last_drain.filter(|at| self.now - *at <= ROLLOUT_WINDOW);
         let peers = rollout.into_iter().flat_map(|_| self.servers.values());
         let peers = peers.filter(|s| s.role == role && s.listed());
         let mut starts: Vec<_> = peers.map(|s| s.member.up_since).collect();
@@ -682,7 +679,7 @@
         let listed = || self.servers.values().filter(|s| s.listed());
         let mixed = listed().filter(|s| s.role == Role::Mixed).count() as f64;
         let hash = fraction(job.request.session.map_or(job.request.id.0, |key| key.0));
-        if hash * (listed().count() as f64) < mixed { LEANING } else { -LEANING }
+        if hash * (listed().count() as f64) < mixed { MIXED_BIAS } else { -MIXED_BIAS }
     }
 
     /// Chooses the next server and stage: a mixed server for the whole request where that is better, else a
@@ -700,7 +697,7 @@
         // The exact writer matters only against a mixed server, or where a writer may read.
         let writer = self.warm_writer(job, fleet).filter(|_| staged).or_else(|| self.best_writer(job, fleet));
         // Reading at a writer is the last resort, since its running answers stall meanwhile.
-        let has_spare_room = || self.has_room(false, fleet.loads[1], UNREAD * job.request.max_tokens());
+        let has_spare_room = || self.has_room(false, fleet.loads[1], READ_ROOM * job.request.max_tokens());
         let writer_may_read = self.settings.writers_read && attempts_left >= 1 && has_spare_room();
         let (to, stage) = match (mixed, reader, writer) {
             (Some((m, mixed_cached)), Some((r, reader_cached)), Some((_, room))) => {
@@ -724,8 +721,8 @@
         let role = self.servers[&to].role;
         self.count_send(to, role);
         let (Some(job), Some(server)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else { return };
-        let usual = Span((self.pools[server.role as usize].latency * PATIENCE) as u64);
-        job.late_after = usual.max(job.aim.times(PATIENCE_AIM));
+        let usual = Span((self.pools[server.role as usize].latency * LATE_LATENCIES) as u64);
+        job.late_after = usual.max(job.aim.times(LATE_AIMS));
         job.overtaken = 0;
         (job.stage, job.server, job.sent, job.is_read) = (stage, Some(to), self.now, stage == Stage::Reading);
         job.attempts += 1;
@@ -782,13 +779,13 @@
             pool.latency = took.0 as f64;
         }
         let ratio = took.0 as f64 / pool.latency.max(1e6);
-        pool.latency = blend(pool.latency, took.0 as f64, EWMA);
+        pool.latency = blend(pool.latency, took.0 as f64, EWMA_WEIGHT);
         pool.answers += 1.0;
-        server.fault.add_sample(secs, (1.0 - SLOW_FROM / ratio.max(SLOW_FROM)).max(0.0));
+        server.fault.add_sample(secs, (1.0 - SLOW_RATIO / ratio.max(SLOW_RATIO)).max(0.0));
         server.note_heard(self.now);
-        server.next_exclusion = silence::FIRST_OUT;
+        server.next_exclusion = silence::FIRST_EXCLUSION;
         server.excluded_until = server.excluded_until.min(self.now);
-        let late = took > job.aim.times(LATE);
+        let late = took > job.aim.times(LATE_SHARE);
         let sent = job.sent;
         let waits =
             |job: &&mut Job| matches!(job.stage, Stage::Reading | Stage::Writing) && job.server == Some(at);
@@ -850,7 +847,7 @@
             Verdict::Read => {
                 // Far fewer cached tokens than expected: the cache was flushed or evicted, so older entries
                 // are dropped. May lose matches where only a single entry was evicted.
-                if cached.is_some_and(|cached| cached < VOID_SHARE * job.expected_cached) {
+                if cached.is_some_and(|cached| cached < LOST_CACHE * job.expected_cached) {
                     server.cached.forget_before((job.sent - Time(0)).secs());
                     server.learn(&job.request, now);
                 }
@@ -863,16 +860,16 @@
             }
             Verdict::Full => {
                 server.note_heard(now);
-                server.excluded_until = server.excluded_until.max(now + FULL_PAUSE);
+                server.excluded_until = server.excluded_until.max(now + FULL_BACKOFF);
                 self.adapt_limit(id, at, true);
             }
             Verdict::Timeout | Verdict::Cancelled if !left_early => {
-                server.fault.add_sample(secs, 1.0 - SLOW_FROM / PATIENCE);
+                server.fault.add_sample(secs, 1.0 - SLOW_RATIO / LATE_LATENCIES);
                 if silent {
                     self.exclude(at, Contact::Unanswered);
                 }
             }
-            Verdict::NoSignOfLife => server.fault.add_sample(secs, 1.0 - SLOW_FROM / PATIENCE),
+            Verdict::NoSignOfLife => server.fault.add_sample(secs, 1.0 - SLOW_RATIO / LATE_LATENCIES),
             Verdict::NoRoute => self.exclude(at, Contact::Unreachable),
             Verdict::Refused => self.exclude(at, Contact::Refused),
             _ => {}
@@ -970,12 +967,10 @@
 
     fn tick(&mut self, out: &mut Vec<Action>) {
         let stalled =
-            self.last_tick.replace(self.now).is_some_and(|last| self.now - last > TICK.times(HELD_UP));
+            self.last_tick.replace(self.now).is_some_and(|last| self.now - last > TICK.times(STALL_TICKS));
         out.push(Action::Timer { timer: TICK_TIMER, after: TICK });
         if !self.jobs.is_empty() {
-            let rate = self
-                .popularity
-                .request_rate(self.secs(), (self.started.unwrap_or(self.now) - Time(0)).secs());
+            let rate = self.popularity.rate(self.secs(), (self.started.unwrap_or(self.now) - Time(0)).secs());
             let quotas = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s);
             self.limit_weight = adaptive_limit::traffic_weight(rate, quotas.sum(), self.settings.routers);
             // After a stall, answers that arrived meanwhile have not been processed yet.
@@ -996,7 +991,7 @@
             // A long prompt's extra aim is for reading it, not for waiting.
             let class = &self.settings.classes[job.request.class.0];
             let repeatable = job.history.may_repeat(class.effect.repeat(), self.now.into(), |_| true);
-            let latest = job.arrived + (class.aim - latency).max(class.aim.times(LEAST_WAIT));
+            let latest = job.arrived + (class.aim - latency).max(class.aim.times(MIN_WAIT));
             self.now >= latest || self.now + ANSWER_MARGIN >= job.deadline || !repeatable
         };
         let late: Vec<_> = self.waiting.iter().copied().filter(late).collect();
@@ -1014,9 +1009,9 @@
         let due = self.servers.iter().filter(|(_, s)| s.listed() && s.next_probe <= self.now);
         let mut due: Vec<_> = due.map(|(id, s)| (far(s), s.next_probe, mix(self.seed ^ id.0), *id)).collect();
         due.sort();
-        for (.., id) in due.into_iter().take(PROBES) {
+        for (.., id) in due.into_iter().take(MAX_PROBES) {
             if let Some(server) = self.servers.get_mut(&id) {
-                server.next_probe = self.now + PROBE_EVERY;
+                server.next_probe = self.now + PROBE_INTERVAL;
                 out.push(Action::Probe(id));
             }
         }
--- a/src/logic/silence.rs
+++ b/src/logic/silence.rs
@@ -6,38 +6,38 @@
 //! they were sent. One that is heard on other connections is alive; an attempt there that later ones overtake
 //! was lost on its own connection, see `Router::check_late_attempts`.
 
-use super::{Job, PATIENCE, Router, Server, Stage};
+use super::{Job, LATE_LATENCIES, Router, Server, Stage};
 use crate::interface::{Action, Effect, RequestId, Role, ServerId, Span, Time};
 use fawnstream_fleet::reachability::Contact;
 use fawnstream_fleet::timeout::timeout_factors;
 use std::collections::BTreeMap;
 
 /// A server is silent after this many times its role's latency without a sign of life, if also past
-/// `LEAST_SILENCE` and `LATE_TOGETHER`.
-const USUAL_TIMES: f64 = 4.0;
+/// `MIN_SILENCE` and `TOTAL_LATENESS`.
+const SILENCE_LATENCIES: f64 = 4.0;
 /// Shortest silence that counts: a stalled process or one slow exchange may take this long.
-const LEAST_SILENCE: Span = Span::from_millis(200);
+const MIN_SILENCE: Span = Span::from_millis(200);
 /// The lateness of all attempts at a silent server together must reach this many times the longest silence
 /// allowed, because a single one may just be long.
-const LATE_TOGETHER: f64 = 3.0;
+const TOTAL_LATENESS: f64 = 3.0;
 /// Network cuts affect several servers at once: for this long after a peer fell silent, one late attempt is
 /// enough to find a server silent.
-const CUT_LASTS: Span = Span::from_millis(1_000);
+const CUT_WINDOW: Span = Span::from_millis(1_000);
 /// Maximum attempts at a peer in that time until it shows a sign of life.
-const UNPROVEN_CALLS: u32 = 6;
+const PROBATION_SENDS: u32 = 6;
 /// Answers of a role needed before its latency is known.
-const KNOWN: f64 = 10.0;
+const MIN_ANSWERS: f64 = 10.0;
 
 /// An attempt is lost once its server answered this many later ones of ours: servers take requests in order.
-const OVERTAKEN: u32 = 3;
+const LOST_AFTER_OVERTAKES: u32 = 3;
 /// Maximum divisor of the patience with a silent reader: several unanswered reads prove more than one.
-const SURE: u32 = 2;
+const MAX_PATIENCE_DIVISOR: u32 = 2;
 /// Number of equal parts of a server's peers; each part that is already excluded doubles the patience.
-const DOUBT: f64 = 5.0;
-/// First exclusion of a silent or unreachable server; doubles up to `LONGEST_OUT` while it stays so.
-pub(super) const FIRST_OUT: Span = Span::from_millis(1_500);
+const PEER_PARTS: f64 = 5.0;
+/// First exclusion of a silent or unreachable server; doubles up to `MAX_EXCLUSION` while it stays so.
+pub(super) const FIRST_EXCLUSION: Span = Span::from_millis(1_500);
 /// Longest exclusion.
-const LONGEST_OUT: Span = Span::from_millis(6_000);
+const MAX_EXCLUSION: Span = Span::from_millis(6_000);
 
 /// State of an excluded server: it gets one request at a time until it shows a sign of life.
 #[derive(Clone, Copy, Debug, Default)]
@@ -81,26 +81,26 @@
     /// is still silent, so it may do so only after a long time without any probe.
     pub(super) fn may_probe(&self, server: &Server, job: &Job) -> bool {
         let repeatable = self.settings.classes[job.request.class.0].effect == Effect::Safe;
-        server.half_open.is_none() || repeatable || server.excluded_until + LONGEST_OUT <= self.now
+        server.half_open.is_none() || repeatable || server.excluded_until + MAX_EXCLUSION <= self.now
     }
 
     /// Longest silence allowed to a server of a role while attempts wait for it; `None` until the role's
     /// latency is known.
     fn max_silence(&self, role: Role) -> Option<Span> {
         let pool = &self.pools[role as usize];
-        let longest = Span((pool.latency * USUAL_TIMES) as u64);
-        (pool.answers >= KNOWN).then(|| longest.max(LEAST_SILENCE))
+        let longest = Span((pool.latency * SILENCE_LATENCIES) as u64);
+        (pool.answers >= MIN_ANSWERS).then(|| longest.max(MIN_SILENCE))
     }
 
     /// Whether a server of a role is silent, from the times at which its unanswered attempts were sent.
     fn is_silent(&self, role: Role, sent: &[Time]) -> bool {
         let Some(longest) = self.max_silence(role) else { return false };
         let Some(oldest) = sent.iter().min().map(|sent| self.now - *sent) else { return false };
-        let recent_cut = self.last_silence[role as usize].is_some_and(|cut| self.now - cut <= CUT_LASTS);
+        let recent_cut = self.last_silence[role as usize].is_some_and(|cut| self.now - cut <= CUT_WINDOW);
         let latency = Span(self.pools[role as usize].latency as u64);
         let late = |sent: &Time| (self.now - *sent - latency).min(longest).secs();
         let total_lateness: f64 = sent.iter().map(late).sum();
-        oldest > longest && (recent_cut || total_lateness >= longest.secs() * LATE_TOGETHER)
+        oldest > longest && (recent_cut || total_lateness >= longest.secs() * TOTAL_LATENESS)
     }
 
     /// Excludes servers whose writes have been unanswered for too long, and cancels what may be repeated.
@@ -144,7 +144,7 @@
         self.exclude(at, Contact::Unanswered);
         if let Some(role) = self.servers.get(&at).map(|server| server.role) {
             self.last_silence[role as usize] = Some(self.now);
-            let probation = Probation { until: self.now + CUT_LASTS, sends_left: UNPROVEN_CALLS };
+            let probation = Probation { until: self.now + CUT_WINDOW, sends_left: PROBATION_SENDS };
             for peer in self.servers.values_mut().filter(|peer| peer.role == role) {
                 if peer.probation.is_none_or(|known| known.until <= self.now) {
                     peer.probation = Some(probation);
@@ -170,18 +170,20 @@
         let mut silent = Vec::new();
         // Each fifth of the peers that is excluded doubles the patience: many late servers mean high load.
         let peers = self.servers.values().filter(|server| server.listed());
-        let doubt = timeout_factors(DOUBT, peers.map(|s| (s.role as usize, s.excluded_until > self.now)));
+        let doubt =
+            timeout_factors(PEER_PARTS, peers.map(|s| (s.role as usize, s.excluded_until > self.now)));
         for (id, job) in &mut self.jobs {
             let is_unanswered = matches!(job.stage, Stage::Reading | Stage::Writing);
             let Some(at) = job.server.filter(|_| is_unanswered) else { continue };
             let Some(server) = self.servers.get(&at) else { continue };
-            let lost_after = Span((self.pools[server.role as usize].latency * PATIENCE) as u64);
-            let lost = job.overtaken >= OVERTAKEN && self.now - job.sent > lost_after;
+            let lost_after = Span((self.pools[server.role as usize].latency * LATE_LATENCIES) as u64);
+            let lost = job.overtaken >= LOST_AFTER_OVERTAKES && self.now - job.sent > lost_after;
             if server.last_heard >= job.sent && !lost {
                 continue;
             }
             // Several unanswered reads prove more than one; a writer's attempts include running streams.
-            let silent_reads = if server.role == Role::Reader { server.attempts.clamp(1, SURE) } else { 1 };
+            let silent_reads =
+                if server.role == Role::Reader { server.attempts.clamp(1, MAX_PATIENCE_DIVISOR) } else { 1 };
             let patience = job.late_after.times(doubt[server.role as usize] / f64::from(silent_reads));
             if self.now - job.sent <= patience && !lost {
                 continue;
@@ -203,7 +205,7 @@
         self.note_contact(at, how);
         let Some(server) = self.servers.get_mut(&at).filter(|s| s.excluded_until <= self.now) else { return };
         server.excluded_until = self.now + server.next_exclusion;
-        server.next_exclusion = (server.next_exclusion + server.next_exclusion).min(LONGEST_OUT);
+        server.next_exclusion = (server.next_exclusion + server.next_exclusion).min(MAX_EXCLUSION);
         server.half_open = Some(HalfOpen::default());
     }
 }
