--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -4,10 +4,10 @@
 use super::conn::{Conn, Wire};
 use super::{Shared, seconds};
 use crate::config::websocket::{Route, WebSocket};
-use crate::leg::Leg;
 use crate::live::relay::{Relay, open_upstream};
 use crate::live::{Live, Order, turned_name};
-use crate::servers::upgrade::Ask;
+use crate::servers::upgrade::UpgradeRequest;
+use crate::websocket_stream::WebSocketStream;
 use actix_codec::Framed;
 use actix_http::body::{BodySize, BoxBody};
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -123,7 +123,7 @@
 }
 
 /// Checks an upgrade; gives what its path stands for, whose it is and what servers are asked.
-fn check(told: &WebSocket, request: &Request) -> Result<(Route, Option<TenantId>, Ask), Bad> {
+fn check(told: &WebSocket, request: &Request) -> Result<(Route, Option<TenantId>, UpgradeRequest), Bad> {
     let (head, fields) = (request.head(), request.headers());
     if head.version != Version::HTTP_11 {
         return Err(Bad::Unreadable);
@@ -144,10 +144,10 @@
     let tenant = super::holder(&told.keys, key).map_err(|_| Bad::Key)?;
     let goes_on = |name: &HeaderName| GO_ON.contains(name) || name.as_str().starts_with("x-");
     let on = fields.iter().filter(|(name, _)| goes_on(name));
-    let ask = Ask {
+    let ask = UpgradeRequest {
         target: request.uri().path_and_query().map_or("/", |target| target.as_str()).to_owned(),
         protocols: protocols(fields)?,
-        fields: on.map(|(name, value)| (name.clone(), value.clone())).collect(),
+        headers: on.map(|(name, value)| (name.clone(), value.clone())).collect(),
     };
     Ok((route.clone(), tenant, ask))
 }
@@ -195,9 +195,9 @@
 }
 
 /// The client's side, out of the server library's hands.
-fn leg(wire: Upgrade, largest: usize) -> Leg {
+fn leg(wire: Upgrade, largest: usize) -> WebSocketStream {
     let parts = wire.into_parts();
-    Leg::new(Box::new(parts.io), parts.read_buf, largest, true)
+    WebSocketStream::new(Box::new(parts.io), parts.read_buf, largest, true)
 }
 
 /// One connection, from its upgrade to its end.
@@ -243,7 +243,7 @@
                             let answer = Response::build(StatusCode::BAD_GATEWAY).force_close().finish();
                             return refuse(wire, answer.map_into_boxed_body(), conn.as_ref()).await;
                         }
-                        member.tried(error.attempt);
+                        member.tried(error.outcome);
                     }
                 }
             }
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -73,7 +73,7 @@
     seed: serde_json::Value,
     #[serde(default)]
     limits: Limits,
-    known: Option<list::Wire>,
+    known: Option<list::RawUpdate>,
     settings: RawSettings,
 }
 
@@ -113,7 +113,7 @@
     /// Bytes that long-lived connections may hold at once, where there are any.
     pub live_bytes: usize,
     /// The list of servers as last held; may be old.
-    pub known: Option<list::Wire>,
+    pub known: Option<list::RawUpdate>,
     /// The module's settings.
     pub settings: Settings,
     /// Names used on the wire.
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -9,7 +9,7 @@
 use crate::list::{Entry, Update};
 use crate::log;
 use crate::names;
-use crate::servers::Traced;
+use crate::servers::ConnectionInfo;
 use crate::usage::{self, Usage};
 use fawnstream_attempts::delivery::Delivery;
 use fawnstream_attempts::invariants::{Invariant, Violations};
@@ -114,7 +114,7 @@
     /// For how long its connection had been idle; none if it was new.
     pub idle: Option<Duration>,
     /// Its connection, for the log; none where it has none.
-    pub connection: Option<Traced>,
+    pub connection: Option<ConnectionInfo>,
 }
 
 impl Ended {
@@ -465,7 +465,7 @@
                 dropped = gone.len();
             }
             for entry in &update.entries {
-                let Some(member) = self.member(entry, update.current) else { continue };
+                let Some(member) = self.member(entry, update.last_synced) else { continue };
                 let role = self.roles[member.kind.0];
                 let same = |known: &&Rc<Server>| known.address == entry.address && known.role == role;
                 let known = list.get(&member.server).filter(same);
@@ -842,7 +842,7 @@
                     ms(ended.idle),
                     ended.delivery,
                     ended.connection.map_or(0, |connection| connection.port),
-                    ms(ended.connection.and_then(|connection| connection.heard))
+                    ms(ended.connection.and_then(|connection| connection.silent_for))
                 );
             }
             open.answered
--- a/router/src/list.rs
+++ b/router/src/list.rs
@@ -42,12 +42,12 @@
     /// The list, or its changes.
     pub entries: Vec<Entry>,
     /// When the list was last known to be up to date before this; none for the first news.
-    pub current: Option<Instant>,
+    pub last_synced: Option<Instant>,
 }
 
 /// Discovery's form of the list.
 #[derive(Clone, Deserialize)]
-pub struct Wire {
+pub struct RawUpdate {
     /// The list's version.
     pub revision: u64,
     complete: bool,
@@ -55,7 +55,7 @@
 }
 
 #[derive(Deserialize)]
-struct WireEntry {
+struct RawEntry {
     id: String,
     host_port: SocketAddr,
     #[serde(default)]
@@ -76,20 +76,20 @@
     Left,
 }
 
-impl Wire {
-    /// The news in it; `current` is when the list was last known to be up to date before.
-    pub fn update(self, current: Option<Instant>) -> Update {
+impl RawUpdate {
+    /// The news in it; `last_synced` is when the list was last known to be up to date before.
+    pub fn into_update(self, last_synced: Option<Instant>) -> Update {
         Update {
             complete: self.complete,
             entries: self.members.into_iter().filter_map(entry).collect(),
-            current,
+            last_synced,
         }
     }
 }
 
 /// An entry; one that makes no sense is dropped and logged.
 fn entry(value: serde_json::Value) -> Option<Entry> {
-    let entry = serde_json::from_value::<WireEntry>(value)
+    let entry = serde_json::from_value::<RawEntry>(value)
         .map_err(|error| crate::log!("list dropped reason=bad-entry error=\"{error}\""))
         .ok()?;
     Some(Entry {
--- a/router/src/list/discovery.rs
+++ b/router/src/list/discovery.rs
@@ -1,6 +1,6 @@
 //! The platform's discovery: one watch that stays open, opened again when it ends.
 
-use super::{Indented, Update, Wire, moved, read_lines, watcher};
+use super::{Indented, Update, RawUpdate, moved, read_lines, watcher};
 use crate::log;
 use fawnstream_fleet::discovery_calls::{CallEnd, CallPacer, ListSource, WATCH_TIMEOUT};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     mut hear: impl FnMut(Update),
 ) {
     let mut wait = manner.cap_delay(calls.first_delay());
-    let mut known = Known { from, current: None };
+    let mut known = Known { from, last_synced: None };
     loop {
         tokio::select! {
             () = actix_rt::time::sleep(wait) => {}
@@ -52,7 +52,7 @@
     /// Its version.
     from: u64,
     /// When it was last known to be up to date; none before the first news.
-    current: Option<Instant>,
+    last_synced: Option<Instant>,
 }
 
 /// `stood` tells whether anything came, an empty line at least.
@@ -83,8 +83,8 @@
             }
         });
         // An empty line says that nothing has changed.
-        if line.trim_ascii().is_empty() && known.current.is_some() {
-            known.current = Some(Instant::now());
+        if line.trim_ascii().is_empty() && known.last_synced.is_some() {
+            known.last_synced = Some(Instant::now());
         }
         read
     })
@@ -94,10 +94,10 @@
 /// One piece of news. Garbage changes nothing; what it was to tell is asked for anew, after the version that is known.
 /// Guards against news behind it that hides that something was missed.
 fn take(line: &[u8], known: &mut Known, hear: &mut impl FnMut(Update)) -> Result<(), &'static str> {
-    match serde_json::from_slice::<Wire>(line) {
-        Ok(wire) => {
-            known.from = wire.revision;
-            hear(wire.update(known.current.replace(Instant::now())));
+    match serde_json::from_slice::<RawUpdate>(line) {
+        Ok(raw) => {
+            known.from = raw.revision;
+            hear(raw.into_update(known.last_synced.replace(Instant::now())));
             Ok(())
         }
         Err(error) => {
--- a/router/src/list/etcd.rs
+++ b/router/src/list/etcd.rs
@@ -75,7 +75,7 @@
         told: told.borrow_and_update().clone(),
         from: 0,
         known: BTreeMap::new(),
-        current: None,
+        last_synced: None,
     };
     let mut source = fresh(&mut told);
     let mut wait = FIRST_WAIT;
@@ -110,7 +110,7 @@
     from: u64,
     known: BTreeMap<String, Entry>,
     /// When the list was last known to be up to date; none before the first news.
-    current: Option<Instant>,
+    last_synced: Option<Instant>,
 }
 
 impl Source {
@@ -146,8 +146,8 @@
             self.from = revision;
             self.known.clear();
             range.kvs.into_iter().for_each(|kv| drop(self.put(kv)));
-            let current = self.current.replace(Instant::now());
-            hear(Update { complete: true, entries: self.known.values().cloned().collect(), current });
+            let last_synced = self.last_synced.replace(Instant::now());
+            hear(Update { complete: true, entries: self.known.values().cloned().collect(), last_synced });
         }
         let uri = format!("http://{}/v3/watch", self.told.endpoint);
         let start = (self.from + 1).to_string();
@@ -164,7 +164,7 @@
             if !line.trim_ascii().is_empty() {
                 return self.line(line, hear);
             }
-            self.current = self.current.map(|_| Instant::now());
+            self.last_synced = self.last_synced.map(|_| Instant::now());
             Ok(())
         };
         match read_lines(&mut answer, WATCH_TIMEOUT, line).await {
@@ -198,8 +198,8 @@
         }
         if !entries.is_empty() {
             self.from = revision;
-            let current = self.current.replace(Instant::now());
-            hear(Update { complete: false, entries, current });
+            let last_synced = self.last_synced.replace(Instant::now());
+            hear(Update { complete: false, entries, last_synced });
         }
         Ok(())
     }
--- a/router/src/live/relay.rs
+++ b/router/src/live/relay.rs
@@ -4,9 +4,9 @@
 use super::resume::{self, Message as Passing, Place, Step};
 use super::{Member, Order};
 use crate::core::Server;
-use crate::leg::{Fault, Leg, again};
 use crate::log;
-use crate::servers::upgrade::{self, Ask, Refused, Upstream};
+use crate::servers::upgrade::{self, UpgradeError, UpgradeRequest, Upstream};
+use crate::websocket_stream::{FrameError, WebSocketStream, to_message};
 use actix_http::ws::{CloseCode, CloseReason, Frame, Message};
 use bytes::Bytes;
 use fawnstream_sessions::{AttemptOutcome, CloseCause};
@@ -28,16 +28,16 @@
 /// What our own pings say; a number follows. Answers to others pass.
 const OURS: &[u8] = b"fawnstream/";
 
-type Attempting = Pin<Box<dyn Future<Output = Result<Upstream, Refused>>>>;
+type Attempting = Pin<Box<dyn Future<Output = Result<Upstream, UpgradeError>>>>;
 
 /// Opens an upstream for a connection.
 pub fn open_upstream(
     member: &Member,
     server: Rc<Server>,
-    ask: &Rc<Ask>,
+    ask: &Rc<UpgradeRequest>,
     last_id: Option<String>,
     connect: Duration,
-) -> impl Future<Output = Result<Upstream, Refused>> + 'static {
+) -> impl Future<Output = Result<Upstream, UpgradeError>> + 'static {
     upgrade::open(server, ask.clone(), last_id, connect, member.told().limits)
 }
 
@@ -52,9 +52,9 @@
 /// What happened.
 enum Event {
     Order(Option<Order>),
-    Client(Result<Option<Frame>, Fault>),
-    Server(Result<Option<Frame>, Fault>),
-    Attempt(Result<Upstream, Refused>),
+    Client(Result<Option<Frame>, FrameError>),
+    Server(Result<Option<Frame>, FrameError>),
+    Attempt(Result<Upstream, UpgradeError>),
     /// A message's end was waited for, and here it is.
     Boundary,
     Time,
@@ -72,11 +72,11 @@
 /// See the module's page.
 pub struct Relay {
     member: Member,
-    client: Leg,
-    server: Option<Leg>,
+    client: WebSocketStream,
+    server: Option<WebSocketStream>,
     label: String,
     protocol: Option<String>,
-    ask: Rc<Ask>,
+    ask: Rc<UpgradeRequest>,
     connect: Duration,
     up: Passing,
     down: Passing,
@@ -102,9 +102,9 @@
     /// A connection that was just let in.
     pub fn new(
         member: Member,
-        client: Leg,
+        client: WebSocketStream,
         upstream: Upstream,
-        ask: Rc<Ask>,
+        ask: Rc<UpgradeRequest>,
         connect: Duration,
         label: String,
     ) -> Self {
@@ -112,7 +112,7 @@
         Relay {
             member,
             client,
-            server: Some(upstream.leg),
+            server: Some(upstream.stream),
             label,
             protocol: upstream.protocol,
             ask,
@@ -146,7 +146,7 @@
             self.born.elapsed().as_millis()
         );
         if let Some(server) = self.server.take() {
-            actix_rt::spawn(server.finish(OLD_SERVER));
+            actix_rt::spawn(server.shutdown(OLD_SERVER));
         }
     }
 
@@ -167,8 +167,8 @@
                 let _ = actix_rt::time::timeout(CLOSING, poll_fn(|cx| self.client.poll_flush(cx))).await;
                 return code;
             }
-            let bytes = self.client.held()
-                + self.server.as_ref().map_or(0, Leg::held)
+            let bytes = self.client.buffered_bytes()
+                + self.server.as_ref().map_or(0, WebSocketStream::buffered_bytes)
                 + self.up.held()
                 + self.down.held();
             if !self.member.holds(bytes) && self.end.is_none() {
@@ -184,10 +184,10 @@
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Event> {
         if let Poll::Ready(Err(_)) = self.client.poll_flush(cx) {
-            return Poll::Ready(Event::Client(Err(Fault::Broken)));
+            return Poll::Ready(Event::Client(Err(FrameError::Broken)));
         }
         if let Some(Poll::Ready(Err(_))) = self.server.as_mut().map(|server| server.poll_flush(cx)) {
-            return Poll::Ready(Event::Server(Err(Fault::Broken)));
+            return Poll::Ready(Event::Server(Err(FrameError::Broken)));
         }
         if let Poll::Ready(order) = self.member.orders.poll_recv(cx)
             && self.end.is_none()
@@ -206,7 +206,7 @@
             }
         }
         // What cannot go on is not read: a slow side holds back its own connection alone.
-        let to_server = self.server.as_ref().is_some_and(Leg::has_room) && !self.still(&self.up);
+        let to_server = self.server.as_ref().is_some_and(WebSocketStream::has_room) && !self.still(&self.up);
         if (to_server || self.end.is_some())
             && let Poll::Ready(frame) = self.client.poll_frame(cx)
         {
@@ -249,7 +249,7 @@
         if self.end.is_some() {
             return;
         }
-        self.client.put(Message::Close(close(number, text)));
+        self.client.queue(Message::Close(close(number, text)));
         self.leave_server(1001);
         self.moving = None;
         self.end = Some(End { code, due: Instant::now() + CLOSING });
@@ -258,8 +258,8 @@
     /// The server is told that nobody follows it any more.
     fn leave_server(&mut self, number: u16) {
         if let Some(mut server) = self.server.take() {
-            server.put(Message::Close(close(number, "")));
-            actix_rt::spawn(server.finish(OLD_SERVER));
+            server.queue(Message::Close(close(number, "")));
+            actix_rt::spawn(server.shutdown(OLD_SERVER));
         }
     }
 
@@ -275,13 +275,13 @@
         None
     }
 
-    fn attempted(&mut self, attempt: Result<Upstream, Refused>) -> Option<&'static str> {
+    fn attempted(&mut self, attempt: Result<Upstream, UpgradeError>) -> Option<&'static str> {
         let moving = self.moving.take()?;
         let upstream = attempt.and_then(|upstream| match upstream.protocol == self.protocol {
             true => Ok(upstream),
             // The client speaks the one that it was told.
-            false => Err(Refused {
-                attempt: AttemptOutcome::MayHaveRun,
+            false => Err(UpgradeError {
+                outcome: AttemptOutcome::MayHaveRun,
                 reason: "other-protocol",
                 unusable: false,
             }),
@@ -290,14 +290,14 @@
             Ok(upstream) => {
                 self.leave_server(1000);
                 log!("websocket moved id={} from={} to={}", self.member.name(), self.label, moving.label);
-                (self.server, self.label) = (Some(upstream.leg), moving.label);
+                (self.server, self.label) = (Some(upstream.stream), moving.label);
                 self.moves += 1;
                 self.member.tried(AttemptOutcome::Opened);
             }
             Err(error) => {
                 let (name, label) = (self.member.name(), moving.label);
                 log!("websocket attempt id={name} server={label} reason={}", error.reason);
-                self.member.tried(error.attempt);
+                self.member.tried(error.outcome);
             }
         }
         None
@@ -305,11 +305,11 @@
 
     // Frames.
 
-    fn client_sent(&mut self, frame: Result<Option<Frame>, Fault>) -> Option<&'static str> {
+    fn client_sent(&mut self, frame: Result<Option<Frame>, FrameError>) -> Option<&'static str> {
         let frame = match frame {
             Ok(Some(frame)) => frame,
             // Its word that it has closed did not come, or is not needed any more.
-            Ok(None) | Err(Fault::Broken) => {
+            Ok(None) | Err(FrameError::Broken) => {
                 self.leave_server(1001);
                 return Some(self.end.map_or("client-left", |end| end.code));
             }
@@ -338,7 +338,7 @@
             Err(fault) => return self.unfit(fault),
         }
         match &mut self.server {
-            Some(server) => server.put(again(frame)),
+            Some(server) => server.queue(to_message(frame)),
             None => return self.client_closes.take().map(|reason| self.answer_close(reason)),
         }
         None
@@ -346,17 +346,17 @@
 
     /// The client's close is answered as it was said.
     fn answer_close(&mut self, reason: Option<CloseReason>) -> &'static str {
-        self.client.put(Message::Close(reason));
+        self.client.queue(Message::Close(reason));
         "client-closed"
     }
 
     /// What the client sent is no WebSocket: it hears so.
-    fn wrong(&mut self, fault: Fault) -> Option<&'static str> {
+    fn wrong(&mut self, fault: FrameError) -> Option<&'static str> {
         if let Some(end) = self.end {
             return Some(end.code);
         }
         match fault {
-            Fault::TooLarge => self.finish("too-large", 1009, "too large"),
+            FrameError::TooLarge => self.finish("too-large", 1009, "too large"),
             _ => self.finish("bad-frame", 1002, "this cannot be read"),
         }
         None
@@ -370,11 +370,11 @@
         None
     }
 
-    fn server_sent(&mut self, frame: Result<Option<Frame>, Fault>) -> Option<&'static str> {
+    fn server_sent(&mut self, frame: Result<Option<Frame>, FrameError>) -> Option<&'static str> {
         let frame = match frame {
             Ok(Some(frame)) => frame,
             Ok(None) => return self.broke("server-closed"),
-            Err(Fault::Broken) => return self.broke("server-reset"),
+            Err(FrameError::Broken) => return self.broke("server-reset"),
             // What is behind it cannot be read either: nobody knows where to go on.
             Err(_) => return self.spoilt("server-bad-frame"),
         };
@@ -387,7 +387,7 @@
                 // It goes, and the connection need not go with it.
                 return self.broke("server-leaves");
             }
-            self.client.put(Message::Close(reason.clone()));
+            self.client.queue(Message::Close(reason.clone()));
             self.leave_server(1000);
             if self.client_closes.take().is_some() {
                 return Some("client-closed");
@@ -407,7 +407,7 @@
             Ok(_) => {}
             Err(_) => return self.spoilt("server-bad-text"),
         }
-        self.client.put(again(frame));
+        self.client.queue(to_message(frame));
         None
     }
 
@@ -441,21 +441,21 @@
     fn is_ours(&mut self, frame: &Frame, of_client: bool) -> bool {
         let leg = if of_client { Some(&mut self.client) } else { self.server.as_mut() };
         let (Frame::Pong(said), Some(leg)) = (frame, leg) else { return false };
-        let asked = leg.asked.map(|(_, number)| payload(number));
+        let asked = leg.pending_ping.map(|(_, number)| payload(number));
         if asked.is_none_or(|asked| asked != said) {
             // A late answer to an earlier ping of ours is nobody else's either.
             return said.starts_with(OURS);
         }
-        leg.asked = None;
+        leg.pending_ping = None;
         true
     }
 
     /// When something may be due.
     fn next_look(&self) -> Instant {
         let limits = self.member.told().limits;
-        let of = |leg: &Leg| {
-            let sign = leg.asked.map_or(leg.heard + limits.ping, |(asked, _)| asked + limits.pong);
-            leg.stuck().map_or(sign, |stuck| sign.min(stuck + TAKES_NOTHING))
+        let of = |leg: &WebSocketStream| {
+            let sign = leg.pending_ping.map_or(leg.last_read + limits.ping, |(asked, _)| asked + limits.pong);
+            leg.write_stalled_since().map_or(sign, |stuck| sign.min(stuck + TAKES_NOTHING))
         };
         let mut next = of(&self.client).min(self.used + limits.idle);
         if let Some(server) = &self.server {
@@ -481,7 +481,7 @@
             self.moving = None;
             self.member.tried(AttemptOutcome::Deferred);
         }
-        let paused = !self.server.as_ref().is_some_and(Leg::has_room) || self.moving.is_some();
+        let paused = !self.server.as_ref().is_some_and(WebSocketStream::has_room) || self.moving.is_some();
         match sign(
             &mut self.client,
             now,
@@ -526,23 +526,30 @@
 }
 
 /// Looks after one side. While it is not read from nothing can be heard of it, and nothing is asked.
-fn sign(leg: &mut Leg, now: Instant, ping: Duration, pong: Duration, paused: bool, pings: &mut u64) -> Sign {
-    if leg.stuck().is_some_and(|stuck| stuck + TAKES_NOTHING <= now) {
+fn sign(
+    leg: &mut WebSocketStream,
+    now: Instant,
+    ping: Duration,
+    pong: Duration,
+    paused: bool,
+    pings: &mut u64,
+) -> Sign {
+    if leg.write_stalled_since().is_some_and(|stuck| stuck + TAKES_NOTHING <= now) {
         return Sign::Stuck;
     }
     if paused {
-        leg.heard = now;
-        leg.asked = leg.asked.map(|(_, number)| (now, number));
+        leg.last_read = now;
+        leg.pending_ping = leg.pending_ping.map(|(_, number)| (now, number));
         return Sign::Well;
     }
-    match leg.asked {
+    match leg.pending_ping {
         // Anything that came since is as good a sign.
-        Some((asked, _)) if leg.heard > asked => leg.asked = None,
+        Some((asked, _)) if leg.last_read > asked => leg.pending_ping = None,
         Some((asked, _)) if asked + pong <= now => return Sign::Silent,
-        None if leg.heard + ping <= now => {
+        None if leg.last_read + ping <= now => {
             *pings += 1;
-            leg.asked = Some((now, *pings));
-            leg.put(Message::Ping(payload(*pings)));
+            leg.pending_ping = Some((now, *pings));
+            leg.queue(Message::Ping(payload(*pings)));
         }
         _ => {}
     }
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -124,8 +124,13 @@
     let core = core::Core::new(config.settings, config.names, terms, config.seed, usage.clone())?;
     let inherits = inherited.is_some();
     let handover = handover::Handover::new(inherits);
-    let fleet =
-        servers::Fleet::new(core.clone(), config.links, config.server_sockets, terms, handover.clone());
+    let fleet = servers::ServerClient::new(
+        core.clone(),
+        config.links,
+        config.server_sockets,
+        terms,
+        handover.clone(),
+    );
     core.connect(fleet.clone());
     // Before the first list: it hears of the servers by its news.
     let websocket = config.websocket.as_ref().map(|told| told.listen);
@@ -133,7 +138,7 @@
         config.websocket.map(|told| live::Live::new(core.clone(), told, config.seed, config.live_bytes));
     let from = config.known.as_ref().map_or(0, |known| known.revision);
     if let Some(known) = config.known {
-        core.listed(known.update(None));
+        core.listed(known.into_update(None));
     }
     let listed = core.clone();
     let hear = move |update| listed.listed(update);
@@ -154,7 +159,7 @@
     // Bound before this process takes clients: the one before it is told to end from then on.
     if let Some(listener) = handover.listen() {
         let room = shared.clone();
-        let take = move |carried| fleet.carry(carried, bare.clone());
+        let take = move |carried| fleet.take_over(carried, bare.clone());
         actix_rt::spawn(handover::serve(listener, move || room.takes_over(), take));
     }
     // First of all listeners: operators may ask, and drain, before there is a list.
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -26,7 +26,7 @@
 use fawnstream_attempts::delivery::Delivery;
 use fawnstream_leases::{LeaseConfig, ReleaseOutcome};
 use futures_core::Stream;
-pub use link::Traced;
+pub use link::ConnectionInfo;
 use link::{Begin, Dialler, Lane, Pool, Raw, Watched};
 use serde::Deserialize;
 use shedrelay::{Attempt, ClassId, Evidence, RequestId, Role, Verdict};
@@ -42,7 +42,7 @@
 const SMALL_BODY_TIME: Duration = Duration::from_millis(100);
 /// A stream that says nothing for so long has a dead server: nothing else ends it when a machine vanishes, and its
 /// client must not be left waiting for 5 s.
-pub const STALL: Duration = Duration::from_secs(4);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// A stream whose time is over is looked at once more after this: where this process stood still, what came meanwhile is read
 /// only after its timers.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
@@ -65,7 +65,7 @@
 }
 
 /// The servers' side of the router.
-pub struct Fleet {
+pub struct ServerClient {
     core: Rc<Core>,
     pool: Rc<Pool>,
     handover: Rc<Handover>,
@@ -74,7 +74,7 @@
     patience: Duration,
 }
 
-impl Fleet {
+impl ServerClient {
     /// With so many connections at most.
     pub fn new(
         core: Rc<Core>,
@@ -86,7 +86,7 @@
         let pool = Pool::new(links, sockets, terms.max_concurrent_releases, core.dispatch_counter());
         pool.clone().sweep();
         let closings = Closings::new(close_arrives_within(links));
-        Rc::new(Fleet { core, pool, handover, closings, patience: terms.release_timeout() })
+        Rc::new(ServerClient { core, pool, handover, closings, patience: terms.release_timeout() })
     }
 
     fn way(&self) -> Way<'_> {
@@ -96,7 +96,7 @@
     /// Goes on with a stream that another process began, once what this returns is called; until then nothing of it
     /// is touched. `clients` is given the client's end and its connection. None if there is no room for it, or if it
     /// makes no sense.
-    pub fn carry(
+    pub fn take_over(
         self: &Rc<Self>,
         carried: Carried,
         clients: impl FnOnce(ClientEnd, TcpStream) + 'static,
@@ -125,7 +125,7 @@
     }
 }
 
-impl crate::core::Servers for Fleet {
+impl crate::core::Servers for ServerClient {
     fn send(&self, mut order: Order) {
         let (core, pool, handover) = (self.core.clone(), self.pool.clone(), self.handover.clone());
         let closings = self.closings.clone();
@@ -297,7 +297,7 @@
     /// Relays a stream without the library, to its end; none if it goes on elsewhere.
     async fn go_on(&mut self, mut order: Order, mut raw: Raw, mut tail: Tail) -> Option<Ended> {
         loop {
-            let until = Instant::now() + STALL;
+            let until = Instant::now() + STALL_TIMEOUT;
             match stream(self, &mut order, Source::Raw(&mut raw), &mut tail, Some(until)).await {
                 Relayed::Over(ended) => return Some(ended),
                 Relayed::Handed => return None,
@@ -671,7 +671,7 @@
                     break (Verdict::Cancelled, reason);
                 }
                 looks_again = false;
-                limit = Instant::now() + if tail.done { LAST_CHUNK } else { STALL };
+                limit = Instant::now() + if tail.done { LAST_CHUNK } else { STALL_TIMEOUT };
             }
             Some(Err(())) => match source.spoilt() {
                 Some(spoilt) => break (Verdict::Spoilt, spoilt),
--- a/router/src/servers/link.rs
+++ b/router/src/servers/link.rs
@@ -167,11 +167,11 @@
 
 /// A connection as the log names it.
 #[derive(Clone, Copy, Debug)]
-pub struct Traced {
+pub struct ConnectionInfo {
     /// Its port here.
     pub port: u16,
     /// For how long nothing has come on it; none if nothing ever did.
-    pub heard: Option<Duration>,
+    pub silent_for: Option<Duration>,
 }
 
 /// Tells of a lane's connection, also when the lane is gone.
@@ -179,8 +179,8 @@
 
 impl Trace {
     /// How the connection is now.
-    pub fn now(&self) -> Traced {
-        Traced { port: self.0.port.get(), heard: self.0.heard.get().map(|heard| heard.elapsed()) }
+    pub fn now(&self) -> ConnectionInfo {
+        ConnectionInfo { port: self.0.port.get(), silent_for: self.0.heard.get().map(|heard| heard.elapsed()) }
     }
 }
 
@@ -584,7 +584,7 @@
                 return None;
             }
             let stream = self.stream.as_mut()?;
-            let late = self.part.map_or_else(|| Instant::now() + crate::servers::STALL, |at| at + PART_TIME);
+            let late = self.part.map_or_else(|| Instant::now() + crate::servers::STALL_TIMEOUT, |at| at + PART_TIME);
             match tokio::time::timeout_at(late.into(), stream.readable()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return Some(Err(())),
--- a/router/src/servers/upgrade.rs
+++ b/router/src/servers/upgrade.rs
@@ -1,115 +1,115 @@
-//! Long-lived connections to servers: the upgrade, by awc, and how it ended as far as that can be known.
+//! The WebSocket upgrade to a server, done by awc, and what its failure proves about the attempt.
 
 use crate::config::websocket::Limits;
 use crate::core::Server;
-use crate::leg::Leg;
+use crate::websocket_stream::WebSocketStream;
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue, SEC_WEBSOCKET_PROTOCOL};
 use awc::error::{SendRequestError, WsClientError};
 use fawnstream_sessions::AttemptOutcome;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a new server is told behind which message it goes on.
+/// Tells a new server after which message to resume.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// What a client asked for, as each of its servers hears it.
-pub struct Ask {
+/// What a client asked for, as each of its servers receives it.
+pub struct UpgradeRequest {
     /// Path and query.
     pub target: String,
     /// Subprotocols, in the client's order.
     pub protocols: Vec<String>,
-    /// Other fields that go on.
-    pub fields: Vec<(HeaderName, HeaderValue)>,
+    /// Other headers that are forwarded.
+    pub headers: Vec<(HeaderName, HeaderValue)>,
 }
 
-/// A server's side of a connection.
+/// An upgraded connection to a server.
 pub struct Upstream {
     /// Its frames.
-    pub leg: Leg,
-    /// The subprotocol that it chose.
+    pub stream: WebSocketStream,
+    /// The subprotocol that the server chose.
     pub protocol: Option<String>,
 }
 
-/// Why there is none.
+/// Why an upgrade failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
-pub struct Refused {
-    /// What may have run.
-    pub attempt: AttemptOutcome,
+pub struct UpgradeError {
+    /// Whether the server may have begun the session.
+    pub outcome: AttemptOutcome,
     /// For the log.
     pub reason: &'static str,
-    /// No other server would take it either.
+    /// No other server would accept the request either.
     pub unusable: bool,
 }
 
-fn refused(attempt: AttemptOutcome, reason: &'static str) -> Refused {
-    Refused { attempt, reason, unusable: false }
+fn failed(outcome: AttemptOutcome, reason: &'static str) -> UpgradeError {
+    UpgradeError { outcome, reason, unusable: false }
 }
 
-fn refusal(error: WsClientError) -> Refused {
+fn upgrade_error(error: WsClientError) -> UpgradeError {
     match error {
         WsClientError::InvalidResponseStatus(status) => match status.as_u16() {
-            // Said before anything of it ran.
-            429 | 503 => refused(AttemptOutcome::NotRun, "turned-away"),
-            400..=499 => Refused { unusable: true, ..refused(AttemptOutcome::NotRun, "unusable") },
-            _ => refused(AttemptOutcome::MayHaveRun, "error"),
+            // A server sends these before it begins anything.
+            429 | 503 => failed(AttemptOutcome::NotRun, "turned-away"),
+            400..=499 => UpgradeError { unusable: true, ..failed(AttemptOutcome::NotRun, "unusable") },
+            _ => failed(AttemptOutcome::MayHaveRun, "error"),
         },
         WsClientError::SendRequest(SendRequestError::Connect(_)) => {
-            refused(AttemptOutcome::NotRun, "no-connection")
+            failed(AttemptOutcome::NotRun, "no-connection")
         }
         WsClientError::SendRequest(SendRequestError::Timeout) => {
-            refused(AttemptOutcome::MayHaveRun, "upgrade-timeout")
+            failed(AttemptOutcome::MayHaveRun, "upgrade-timeout")
         }
-        WsClientError::SendRequest(_) => refused(AttemptOutcome::MayHaveRun, "reset"),
-        _ => refused(AttemptOutcome::MayHaveRun, "bad-upgrade"),
+        WsClientError::SendRequest(_) => failed(AttemptOutcome::MayHaveRun, "reset"),
+        _ => failed(AttemptOutcome::MayHaveRun, "bad-upgrade"),
     }
 }
 
-/// The subprotocol of an answer: one of those that were asked for.
-fn chosen(ask: &Ask, fields: &HeaderMap) -> Result<Option<String>, Refused> {
-    let Some(value) = fields.get(SEC_WEBSOCKET_PROTOCOL) else { return Ok(None) };
-    let known = value.to_str().ok().filter(|value| ask.protocols.iter().any(|asked| asked == value));
+/// The subprotocol in the server's answer; an error if the client did not offer it.
+fn chosen_protocol(request: &UpgradeRequest, headers: &HeaderMap) -> Result<Option<String>, UpgradeError> {
+    let Some(value) = headers.get(SEC_WEBSOCKET_PROTOCOL) else { return Ok(None) };
+    let known = value.to_str().ok().filter(|value| request.protocols.iter().any(|offered| offered == value));
     known
         .map(|value| Some(value.to_owned()))
-        .ok_or_else(|| refused(AttemptOutcome::MayHaveRun, "bad-protocol"))
+        .ok_or_else(|| failed(AttemptOutcome::MayHaveRun, "bad-protocol"))
 }
 
-/// Opens a connection and upgrades it; `last_id`: the message behind which the server goes on.
+/// Opens a connection and upgrades it. `last_id` is the message after which the server resumes.
 pub async fn open(
     server: Rc<Server>,
-    ask: Rc<Ask>,
+    request: Rc<UpgradeRequest>,
     last_id: Option<String>,
-    connect: Duration,
+    connect_timeout: Duration,
     limits: Limits,
-) -> Result<Upstream, Refused> {
-    let connector = awc::Connector::new().timeout(connect).limit(1);
+) -> Result<Upstream, UpgradeError> {
+    let connector = awc::Connector::new().timeout(connect_timeout).limit(1);
     let client = awc::Client::builder()
         .connector(connector)
-        .timeout(connect + limits.upgrade)
+        .timeout(connect_timeout + limits.upgrade)
         .max_http_version(awc::http::Version::HTTP_11)
         .disable_redirects()
         .no_default_headers()
         .finish();
-    let mut request = client
-        .ws(format!("ws://{}{}", server.address, ask.target))
+    let mut upgrade = client
+        .ws(format!("ws://{}{}", server.address, request.target))
         .address(server.address)
         .max_frame_size(limits.frame);
-    if !ask.protocols.is_empty() {
-        request = request.protocols(&ask.protocols);
+    if !request.protocols.is_empty() {
+        upgrade = upgrade.protocols(&request.protocols);
     }
-    for (name, value) in &ask.fields {
-        request = request.header(name.clone(), value.clone());
+    for (name, value) in &request.headers {
+        upgrade = upgrade.header(name.clone(), value.clone());
     }
     if let Some(id) = last_id {
-        request = request.set_header(LAST_EVENT_ID, id);
+        upgrade = upgrade.set_header(LAST_EVENT_ID, id);
     }
-    let (answer, framed) = request.connect().await.map_err(refusal)?;
-    let protocol = chosen(&ask, answer.headers())?;
+    let (answer, framed) = upgrade.connect().await.map_err(upgrade_error)?;
+    let protocol = chosen_protocol(&request, answer.headers())?;
     if answer.headers().contains_key("sec-websocket-extensions") {
-        // None was asked for: its frames could not be read.
-        return Err(refused(AttemptOutcome::MayHaveRun, "bad-extension"));
+        // The router offers no extension, and could not read the frames of one.
+        return Err(failed(AttemptOutcome::MayHaveRun, "bad-extension"));
     }
     let parts = framed.into_parts();
-    let leg = Leg::new(Box::new(parts.io), parts.read_buf, limits.frame, false);
-    Ok(Upstream { leg, protocol })
+    let stream = WebSocketStream::new(Box::new(parts.io), parts.read_buf, limits.frame, false);
+    Ok(Upstream { stream, protocol })
 }
--- a/router/src/leg.rs
+++ b/router/src/websocket_stream.rs
@@ -22,7 +22,7 @@
 
 /// Why a side can't go on.
 #[derive(Debug)]
-pub enum Fault {
+pub enum FrameError {
     /// What came is no frame that may come: 1002.
     Protocol,
     /// A frame larger than any may be: 1009.
@@ -32,36 +32,45 @@
 }
 
 /// A byte stream.
-pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
-impl<S: AsyncRead + AsyncWrite + Unpin + ?Sized> Stream for S {}
+pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
+impl<S: AsyncRead + AsyncWrite + Unpin + ?Sized> ByteStream for S {}
 
 /// See the module's page.
-pub struct Leg {
-    io: Box<dyn Stream>,
+pub struct WebSocketStream {
+    io: Box<dyn ByteStream>,
     codec: Codec,
     read: BytesMut,
     write: BytesMut,
     largest: usize,
     /// When something last came, or nothing was asked for.
-    pub heard: Instant,
+    pub last_read: Instant,
     /// When the system last took something that waited; none while nothing waits.
-    stuck: Option<Instant>,
+    write_stalled_since: Option<Instant>,
     /// What its peer was asked by our ping, and when.
-    pub asked: Option<(Instant, u64)>,
+    pub pending_ping: Option<(Instant, u64)>,
 }
 
-impl Leg {
+impl WebSocketStream {
     /// A side whose peer is a client or, unless `of_client`, a server; what was read ahead comes first.
-    pub fn new(io: Box<dyn Stream>, read: BytesMut, largest: usize, of_client: bool) -> Self {
+    pub fn new(io: Box<dyn ByteStream>, read: BytesMut, largest: usize, of_client: bool) -> Self {
         let codec = Codec::new().max_size(largest);
         let codec = if of_client { codec } else { codec.client_mode() };
         let read = if read.is_empty() { BytesMut::new() } else { read };
-        let (write, heard) = (BytesMut::new(), Instant::now());
-        Leg { io, codec, read, write, largest, heard, stuck: None, asked: None }
+        let (write, last_read) = (BytesMut::new(), Instant::now());
+        WebSocketStream {
+            io,
+            codec,
+            read,
+            write,
+            largest,
+            last_read,
+            write_stalled_since: None,
+            pending_ping: None,
+        }
     }
 
     /// The next frame; none at the connection's end.
-    pub fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Frame>, Fault>> {
+    pub fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Frame>, FrameError>> {
         loop {
             if !self.read.is_empty() {
                 match self.codec.decode(&mut self.read) {
@@ -76,20 +85,20 @@
                     Ok(None)
                         if self.read.len() > self.largest + HEAD || self.told() > self.largest as u64 =>
                     {
-                        return Poll::Ready(Err(Fault::TooLarge));
+                        return Poll::Ready(Err(FrameError::TooLarge));
                     }
                     Ok(None) => {}
-                    Err(ProtocolError::Overflow) => return Poll::Ready(Err(Fault::TooLarge)),
-                    Err(_) => return Poll::Ready(Err(Fault::Protocol)),
+                    Err(ProtocolError::Overflow) => return Poll::Ready(Err(FrameError::TooLarge)),
+                    Err(_) => return Poll::Ready(Err(FrameError::Protocol)),
                 }
             }
             // Read aside: a connection that waits for bytes holds no room for them.
             let mut piece = [MaybeUninit::uninit(); PIECE];
             let mut piece = ReadBuf::uninit(&mut piece);
             if ready!(Pin::new(&mut self.io).poll_read(cx, &mut piece)).is_err() {
-                return Poll::Ready(Err(Fault::Broken));
+                return Poll::Ready(Err(FrameError::Broken));
             }
-            self.heard = Instant::now();
+            self.last_read = Instant::now();
             if piece.filled().is_empty() {
                 return Poll::Ready(Ok(None));
             }
@@ -118,22 +127,22 @@
     }
 
     /// Puts a frame in the line of those to be written.
-    pub fn put(&mut self, message: Message) {
+    pub fn queue(&mut self, message: Message) {
         // It cannot fail: what is put in was a frame before, in the same order.
         let _ = self.codec.encode(message, &mut self.write);
-        if self.stuck.is_none() {
-            self.stuck = Some(Instant::now());
+        if self.write_stalled_since.is_none() {
+            self.write_stalled_since = Some(Instant::now());
         }
     }
 
     /// Bytes in its buffers.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.read.len() + self.write.len()
     }
 
     /// Since when nothing of what waits was taken.
-    pub fn stuck(&self) -> Option<Instant> {
-        self.stuck
+    pub fn write_stalled_since(&self) -> Option<Instant> {
+        self.write_stalled_since
     }
 
     /// Writes what waits; ready when nothing does.
@@ -144,9 +153,9 @@
                 return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
             }
             self.write.advance(size);
-            self.stuck = Some(Instant::now());
+            self.write_stalled_since = Some(Instant::now());
         }
-        if self.stuck.take().is_some() {
+        if self.write_stalled_since.take().is_some() {
             self.write = BytesMut::new();
             ready!(Pin::new(&mut self.io).poll_flush(cx))?;
         }
@@ -154,7 +163,7 @@
     }
 
     /// Ends it in order: what waits goes out, and its peer has so long to close.
-    pub async fn finish(mut self, time: Duration) {
+    pub async fn shutdown(mut self, time: Duration) {
         let all = async {
             poll_fn(|cx| self.poll_flush(cx)).await?;
             poll_fn(|cx| Pin::new(&mut self.io).poll_shutdown(cx)).await?;
@@ -166,7 +175,7 @@
 }
 
 /// A frame as it goes out again: the same.
-pub fn again(frame: Frame) -> Message {
+pub fn to_message(frame: Frame) -> Message {
     match frame {
         // Checked before it gets here; what is not text goes out as it came.
         Frame::Text(piece) => match ByteString::try_from(piece) {
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -9,7 +9,7 @@
 use fawnstream::handover::Handover;
 use fawnstream::list::Update;
 use fawnstream::list::discovery::follow;
-use fawnstream::servers::{Fleet, close_arrives_within};
+use fawnstream::servers::{ServerClient, close_arrives_within};
 use fawnstream_fleet::discovery_calls::{CallPacer, ListSource};
 use fawnstream_leases::LeaseConfig;
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
@@ -152,7 +152,7 @@
     let calls = CallPacer::new(settings.routers, seed);
     let core = Core::new(settings, names, terms, seed, None).ok()?;
     let sockets = shared.conditions.hollow_sockets;
-    core.connect(Fleet::new(core.clone(), links, sockets, terms, Handover::new(false)));
+    core.connect(ServerClient::new(core.clone(), links, sockets, terms, Handover::new(false)));
     let (updated_core, tracker) = (core.clone(), shared.tracker.clone());
     let on_update = move |update: Update| {
         let draining = update.entries.iter().filter(|entry| entry.state == ServerState::Leaving);
