--- a/router/src/list.rs
+++ b/router/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of servers: where its news comes from, and what a piece of news is.
+//! The list of servers: its sources and the updates they send.
 
 pub mod discovery;
 pub mod etcd;
@@ -13,15 +13,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A line longer than this is no list.
-const LONGEST_LINE: usize = 4 * 1024 * 1024;
+/// Longest line of a watch, in bytes; a longer one is not a list.
+const MAX_LINE: usize = 4 * 1024 * 1024;
 
-/// One server as a source of the list knows it.
+/// One server as a source lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name, the same at every router.
+    /// The server's name, the same at every router.
     pub id: String,
-    /// Where it listens, for this router.
+    /// The address at which this router reaches it.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -29,23 +29,23 @@
     pub kind: String,
     /// Its cell.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub state: ServerState,
-    /// Unix time of its last start in milliseconds; 0 for long ago.
+    /// Unix time of its last start in milliseconds; 0 if that was long ago.
     pub up_since_ms: u64,
 }
 
-/// A piece of news.
+/// A snapshot of the list, or changes to it.
 pub struct Update {
-    /// The entries are the whole list.
+    /// The entries are the whole list, not only changes.
     pub complete: bool,
-    /// The list, or its changes.
+    /// The listed or changed servers.
     pub entries: Vec<Entry>,
-    /// When the list was last known to be up to date before this; none for the first news.
+    /// When the list was last known to be up to date before this update; `None` for the first one.
     pub last_synced: Option<Instant>,
 }
 
-/// Discovery's form of the list.
+/// An update in discovery's format.
 #[derive(Clone, Deserialize)]
 pub struct RawUpdate {
     /// The list's version.
@@ -77,18 +77,18 @@
 }
 
 impl RawUpdate {
-    /// The news in it; `last_synced` is when the list was last known to be up to date before.
+    /// Parses the members; those that cannot be parsed are dropped and logged.
     pub fn into_update(self, last_synced: Option<Instant>) -> Update {
         Update {
             complete: self.complete,
-            entries: self.members.into_iter().filter_map(entry).collect(),
+            entries: self.members.into_iter().filter_map(parse_entry).collect(),
             last_synced,
         }
     }
 }
 
-/// An entry; one that makes no sense is dropped and logged.
-fn entry(value: serde_json::Value) -> Option<Entry> {
+/// Parses an entry; one that cannot be parsed is dropped and logged.
+fn parse_entry(value: serde_json::Value) -> Option<Entry> {
     let entry = serde_json::from_value::<RawEntry>(value)
         .map_err(|error| crate::log!("list dropped reason=bad-entry error=\"{error}\""))
         .ok()?;
@@ -107,23 +107,23 @@
     })
 }
 
-/// Puts objects together that come over several lines: lists may come indented. Guards against a list that is dropped
-/// line by line, and against one that broke off and swallows those after it: an object begins with its brace in the
-/// first column, and an empty line ends whatever was begun.
+/// Assembles JSON objects that span several lines, since a source may indent its lists. A `{` in the first column or
+/// an empty line ends an unfinished object. Guards against an indented list that is dropped line by line, and against
+/// a truncated one that swallows the lists after it.
 #[derive(Default)]
-struct Indented {
-    held: Vec<u8>,
+struct ObjectAssembler {
+    buffer: Vec<u8>,
     depth: usize,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
-impl Indented {
-    /// Hears a line; gives each text that has ended, whole or not.
-    fn line(&mut self, line: &[u8], mut ended: impl FnMut(&[u8])) {
+impl ObjectAssembler {
+    /// Adds a line; passes each text that has ended to `on_text`, complete or not.
+    fn add_line(&mut self, line: &[u8], mut on_text: impl FnMut(&[u8])) {
         let empty = line.trim_ascii().is_empty();
         if empty || line.first() == Some(&b'{') {
-            self.end(&mut ended);
+            self.finish(&mut on_text);
         }
         if empty {
             return;
@@ -131,57 +131,58 @@
         for byte in line {
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.in_text => self.escaped = true,
-                b'"' => self.in_text = !self.in_text,
-                b'{' | b'[' if !self.in_text => self.depth += 1,
-                b'}' | b']' if !self.in_text => self.depth = self.depth.saturating_sub(1),
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                b'{' | b'[' if !self.in_string => self.depth += 1,
+                b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
                 _ => {}
             }
         }
-        if self.held.is_empty() && self.depth == 0 {
-            return ended(line);
+        if self.buffer.is_empty() && self.depth == 0 {
+            return on_text(line);
         }
-        self.held.extend_from_slice(line);
-        if self.depth == 0 || self.held.len() > LONGEST_LINE {
-            self.end(&mut ended);
+        self.buffer.extend_from_slice(line);
+        if self.depth == 0 || self.buffer.len() > MAX_LINE {
+            self.finish(&mut on_text);
         }
     }
 
-    fn end(&mut self, ended: &mut impl FnMut(&[u8])) {
-        let text = std::mem::take(self).held;
+    fn finish(&mut self, on_text: &mut impl FnMut(&[u8])) {
+        let text = std::mem::take(self).buffer;
         if !text.is_empty() {
-            ended(&text);
+            on_text(&text);
         }
     }
 }
 
-/// Waits until another source of the list is told.
-async fn moved<T>(told: &mut watch::Receiver<T>) {
-    if told.changed().await.is_err() {
-        // Nobody can tell any more.
+/// Waits until a reload configures another source of the list.
+async fn source_changed<T>(source: &mut watch::Receiver<T>) {
+    if source.changed().await.is_err() {
+        // The sender is gone, so the source can no longer change.
         std::future::pending::<()>().await;
     }
 }
 
-/// A client for a watch: one connection, no time-out of its own, nothing followed.
-fn watcher(connect: Duration) -> awc::Client {
-    let connector = awc::Connector::new().timeout(connect).limit(1);
+/// An HTTP client for a watch: one connection, no timeout beyond the connect timeout, no redirects.
+fn watch_client(connect_timeout: Duration) -> awc::Client {
+    let connector = awc::Connector::new().timeout(connect_timeout).limit(1);
     let client = awc::Client::builder().connector(connector);
     client.disable_timeout().disable_redirects().no_default_headers().finish()
 }
 
-/// Hands on the lines of a watch, empty ones too, until it ends or one of them ends it; gives the reason. Only a whole
-/// line is a sign of life: guards against one that comes byte by byte and never ends.
+/// Passes each line of a watch to `on_line`, empty ones too, until the watch ends, is silent for `timeout` or
+/// `on_line` returns an error; returns the reason. Only a whole line restarts the timeout: guards against a line that
+/// comes byte by byte and never ends.
 async fn read_lines(
     answer: &mut ClientResponse,
-    silence: Duration,
-    mut hear: impl FnMut(&[u8]) -> Result<(), &'static str>,
+    timeout: Duration,
+    mut on_line: impl FnMut(&[u8]) -> Result<(), &'static str>,
 ) -> &'static str {
     let mut line = Vec::new();
-    let mut heard = Instant::now();
+    let mut last_line = Instant::now();
     loop {
         let piece = poll_fn(|cx| Pin::new(&mut *answer).poll_next(cx));
-        let piece = match tokio::time::timeout_at((heard + silence).into(), piece).await {
+        let piece = match tokio::time::timeout_at((last_line + timeout).into(), piece).await {
             Ok(Some(Ok(piece))) => piece,
             Ok(Some(Err(_))) => return "broken",
             Ok(None) => return "ended",
@@ -189,15 +190,15 @@
         };
         for part in piece.split_inclusive(|byte| *byte == b'\n') {
             line.extend_from_slice(part);
-            if line.len() > LONGEST_LINE {
+            if line.len() > MAX_LINE {
                 return "line-too-long";
             }
             if part.ends_with(b"\n") {
-                if let Err(reason) = hear(&line) {
+                if let Err(reason) = on_line(&line) {
                     return reason;
                 }
                 line.clear();
-                heard = Instant::now();
+                last_line = Instant::now();
             }
         }
     }
@@ -207,28 +208,29 @@
 mod tests {
     use super::*;
 
-    fn heard(lines: &str) -> Vec<String> {
-        let (mut texts, mut indented) = (Vec::new(), Indented::default());
+    fn texts(lines: &str) -> Vec<String> {
+        let (mut texts, mut assembler) = (Vec::new(), ObjectAssembler::default());
         for line in lines.split_inclusive('\n') {
-            indented
-                .line(line.as_bytes(), |text| texts.push(String::from_utf8_lossy(text).trim().to_owned()));
+            assembler.add_line(line.as_bytes(), |text| {
+                texts.push(String::from_utf8_lossy(text).trim().to_owned())
+            });
         }
         texts
     }
 
     #[test]
-    fn objects_over_several_lines_are_put_together() {
+    fn assembles_objects_that_span_several_lines() {
         let one = r#"{"revision":1,"complete":true,"members":[]}"#;
-        assert_eq!(heard(&format!("{one}\n\n{one}\n")), [one, one]);
+        assert_eq!(texts(&format!("{one}\n\n{one}\n")), [one, one]);
         let object = "{\n  \"a\": [\n    {\"b\": \"}]\\\"{\"}\n  ]\n}";
-        assert_eq!(heard(&format!("{object}\n{one}\n{object}\n")), [object, one, object]);
+        assert_eq!(texts(&format!("{object}\n{one}\n{object}\n")), [object, one, object]);
     }
 
     #[test]
-    fn one_that_broke_off_swallows_none_after_it() {
+    fn truncated_object_does_not_swallow_the_next_one() {
         let one = r#"{"revision":1}"#;
-        assert_eq!(heard(&format!("{{\"a\": [\n  1,\n{one}\n")), ["{\"a\": [\n  1,", one]);
-        assert_eq!(heard(&format!("{{\"a\": \"x\n\n{one}\n")), ["{\"a\": \"x", one]);
-        assert_eq!(heard("no list\n]\n"), ["no list", "]"]);
+        assert_eq!(texts(&format!("{{\"a\": [\n  1,\n{one}\n")), ["{\"a\": [\n  1,", one]);
+        assert_eq!(texts(&format!("{{\"a\": \"x\n\n{one}\n")), ["{\"a\": \"x", one]);
+        assert_eq!(texts("no list\n]\n"), ["no list", "]"]);
     }
 }
--- a/router/src/list/discovery.rs
+++ b/router/src/list/discovery.rs
@@ -1,103 +1,106 @@
-//! The platform's discovery: one watch that stays open, opened again when it ends.
+//! The platform's discovery as a source of the list: one watch that stays open, and is opened again when it ends.
 
-use super::{Indented, Update, RawUpdate, moved, read_lines, watcher};
+use super::{ObjectAssembler, RawUpdate, Update, read_lines, source_changed, watch_client};
 use crate::log;
 use fawnstream_fleet::discovery_calls::{CallEnd, CallPacer, ListSource, WATCH_TIMEOUT};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Follows the list for ever, at the address that was told last. `from` is the version of the list already
-/// known: a new address goes on from there, so that no news is lost between two. `calls` says when to call.
+/// Follows the list forever, at the address that was configured last. `revision` is that of the list already known:
+/// the watch at a new address resumes from there, so that no update is lost in between. `pacer` says when to call.
 pub async fn follow(
-    mut told: watch::Receiver<SocketAddr>,
-    from: u64,
-    mut calls: CallPacer,
-    manner: ListSource,
-    mut hear: impl FnMut(Update),
+    mut address_changes: watch::Receiver<SocketAddr>,
+    revision: u64,
+    mut pacer: CallPacer,
+    source: ListSource,
+    mut on_update: impl FnMut(Update),
 ) {
-    let mut wait = manner.cap_delay(calls.first_delay());
-    let mut known = Known { from, last_synced: None };
+    let mut delay = source.cap_delay(pacer.first_delay());
+    let mut known = Known { revision, last_synced: None };
     loop {
         tokio::select! {
-            () = actix_rt::time::sleep(wait) => {}
-            () = moved(&mut told) => calls.reset(),
+            () = actix_rt::time::sleep(delay) => {}
+            () = source_changed(&mut address_changes) => pacer.reset(),
         }
-        let address = *told.borrow_and_update();
-        let called = Instant::now();
-        let mut stood = false;
+        let address = *address_changes.borrow_and_update();
+        let called_at = Instant::now();
+        let mut got_line = false;
         let reason = tokio::select! {
-            reason = follow_one(address, manner, &mut known, &mut stood, &mut hear) => reason,
-            () = moved(&mut told) => "moved",
+            reason = watch_once(address, source, &mut known, &mut got_line, &mut on_update) => reason,
+            () = source_changed(&mut address_changes) => "moved",
         };
-        log!("connection peer=discovery address={address} code={reason} revision={}", known.from);
-        let told = match reason {
+        log!("connection peer=discovery address={address} code={reason} revision={}", known.revision);
+        let next_delay = match reason {
             "moved" => {
-                calls.reset();
+                pacer.reset();
                 Duration::ZERO
             }
-            // What stands there may stand there again.
-            "bad-list" => calls.next_delay(CallEnd::Unavailable, Duration::ZERO),
-            _ if stood => calls.next_delay(CallEnd::WatchEnded, Duration::ZERO),
-            // A call that was taken and told nothing waited in vain, as one that is refused does.
-            "refused" | "broken" | "ended" => calls.next_delay(CallEnd::Refused, called.elapsed()),
-            _ => calls.next_delay(CallEnd::Unavailable, called.elapsed()),
+            // The next answer may be just as invalid.
+            "bad-list" => pacer.next_delay(CallEnd::Unavailable, Duration::ZERO),
+            _ if got_line => pacer.next_delay(CallEnd::WatchEnded, Duration::ZERO),
+            // A call that was accepted but returned no line is paced like a refused one.
+            "refused" | "broken" | "ended" => pacer.next_delay(CallEnd::Refused, called_at.elapsed()),
+            _ => pacer.next_delay(CallEnd::Unavailable, called_at.elapsed()),
         };
-        wait = manner.cap_delay(told);
+        delay = source.cap_delay(next_delay);
     }
 }
 
-/// What is known of the list.
+/// How far the list is known.
 struct Known {
-    /// Its version.
-    from: u64,
-    /// When it was last known to be up to date; none before the first news.
+    revision: u64,
+    /// When the list was last known to be up to date; `None` before the first update.
     last_synced: Option<Instant>,
 }
 
-/// `stood` tells whether anything came, an empty line at least.
-async fn follow_one(
+/// Runs one watch to its end and returns the reason. `got_line` is set once any line came, even an empty one.
+async fn watch_once(
     address: SocketAddr,
-    manner: ListSource,
+    source: ListSource,
     known: &mut Known,
-    stood: &mut bool,
-    hear: &mut impl FnMut(Update),
+    got_line: &mut bool,
+    on_update: &mut impl FnMut(Update),
 ) -> &'static str {
-    let client = watcher(manner.connect_timeout());
-    let uri = format!("http://{address}/v1/servers?watch=1&from={}", known.from);
-    let asked = actix_rt::time::timeout(manner.head_timeout(), client.get(uri).send()).await;
-    let mut answer = match asked {
+    let client = watch_client(source.connect_timeout());
+    let uri = format!("http://{address}/v1/servers?watch=1&from={}", known.revision);
+    let answer = actix_rt::time::timeout(source.head_timeout(), client.get(uri).send()).await;
+    let mut answer = match answer {
         Ok(Ok(answer)) if answer.status() == awc::http::StatusCode::OK => answer,
         Ok(Ok(answer)) if matches!(answer.status().as_u16(), 429 | 503) => return "refused",
         Ok(Ok(_)) => return "bad-status",
         Ok(Err(_)) => return "no-connection",
         Err(_) => return "silent",
     };
-    let mut indented = Indented::default();
+    let mut assembler = ObjectAssembler::default();
     read_lines(&mut answer, WATCH_TIMEOUT, |line| {
-        *stood = true;
-        let mut read = Ok(());
-        indented.line(line, |text| {
-            if read.is_ok() {
-                read = take(text, known, hear);
+        *got_line = true;
+        let mut applied = Ok(());
+        assembler.add_line(line, |text| {
+            if applied.is_ok() {
+                applied = apply_update(text, known, on_update);
             }
         });
-        // An empty line says that nothing has changed.
+        // An empty line is a heartbeat: nothing has changed.
         if line.trim_ascii().is_empty() && known.last_synced.is_some() {
             known.last_synced = Some(Instant::now());
         }
-        read
+        applied
     })
     .await
 }
 
-/// One piece of news. Garbage changes nothing; what it was to tell is asked for anew, after the version that is known.
-/// Guards against news behind it that hides that something was missed.
-fn take(line: &[u8], known: &mut Known, hear: &mut impl FnMut(Update)) -> Result<(), &'static str> {
-    match serde_json::from_slice::<RawUpdate>(line) {
+/// Applies one update. An invalid one changes nothing and ends the watch, so that the next watch asks for it again
+/// from the known revision. Guards against later updates that hide that one was missed.
+fn apply_update(
+    text: &[u8],
+    known: &mut Known,
+    on_update: &mut impl FnMut(Update),
+) -> Result<(), &'static str> {
+    match serde_json::from_slice::<RawUpdate>(text) {
         Ok(raw) => {
-            known.from = raw.revision;
-            hear(raw.into_update(known.last_synced.replace(Instant::now())));
+            known.revision = raw.revision;
+            on_update(raw.into_update(known.last_synced.replace(Instant::now())));
             Ok(())
         }
         Err(error) => {
