--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -2,11 +2,11 @@
 //! no decision is taken here.
 
 pub mod accept_error;
-pub mod carried;
 mod conn;
 mod listener;
 pub mod openai;
 pub mod platform;
+pub mod resumed_answer;
 pub mod websocket;
 
 use crate::core::Untaken;
@@ -20,7 +20,7 @@
 use bytes::Bytes;
 use conn::{Busy, Conn, REQUEST_TIME};
 use futures_core::Stream;
-pub use listener::{Held, STILL_OPEN, Shared, serve, serve_upgrades};
+pub use listener::{ACCEPT_AFTER_STOP, Held, Shared, serve, serve_upgrades};
 use shedrelay::{ClassId, TenantId};
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -269,7 +269,7 @@
     }
     // On an inherited socket the address is the next process's as soon as this one stops: a no from here, on a
     // connection that is still open, would speak for both.
-    let takes = match shared.life.phase() {
+    let takes = match shared.lifecycle.phase() {
         Phase::Stopping => shared.inherited,
         phase => phase.takes_clients(),
     };
--- a/router/src/clients/accept_error.rs
+++ b/router/src/clients/accept_error.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// How long to wait until a shortage of the machine may have passed.
-pub const SHORTAGE_WAIT: Duration = Duration::from_millis(5);
+pub const SHORTAGE_BACKOFF: Duration = Duration::from_millis(5);
 /// How long to wait until connections that were asked to end have given their descriptors back.
-pub const EXHAUSTED_WAIT: Duration = Duration::from_millis(20);
+pub const NO_DESCRIPTORS_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Why `accept` failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,14 +17,14 @@
     /// A table or the memory of the machine is full: nothing of this process is at fault.
     Shortage,
     /// This process has no descriptor left.
-    Exhausted,
+    NoDescriptors,
 }
 
 impl AcceptError {
     /// What an error of `accept` means.
-    pub fn of(error: &io::Error) -> Self {
+    pub fn classify(error: &io::Error) -> Self {
         match error.raw_os_error() {
-            Some(libc::EMFILE) => AcceptError::Exhausted,
+            Some(libc::EMFILE) => AcceptError::NoDescriptors,
             Some(libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => AcceptError::Shortage,
             Some(
                 libc::ECONNABORTED
@@ -47,11 +47,11 @@
     }
 
     /// How long to wait before the next call.
-    pub fn wait(self) -> Option<Duration> {
+    pub fn backoff(self) -> Option<Duration> {
         match self {
             AcceptError::Connection => None,
-            AcceptError::Shortage => Some(SHORTAGE_WAIT),
-            AcceptError::Exhausted => Some(EXHAUSTED_WAIT),
+            AcceptError::Shortage => Some(SHORTAGE_BACKOFF),
+            AcceptError::NoDescriptors => Some(NO_DESCRIPTORS_BACKOFF),
         }
     }
 
@@ -60,7 +60,7 @@
         match self {
             AcceptError::Connection => "connection",
             AcceptError::Shortage => "shortage",
-            AcceptError::Exhausted => "no-descriptors",
+            AcceptError::NoDescriptors => "no-descriptors",
         }
     }
 }
--- a/router/src/clients/listener.rs
+++ b/router/src/clients/listener.rs
@@ -34,7 +34,7 @@
 const LOOK_UPGRADED: Duration = Duration::from_secs(60);
 /// After SIGTERM clients keep coming for a moment, until the front layer has heard; they are still served. Where the
 /// socket is inherited the next process takes them at once.
-pub const STILL_OPEN: Duration = Duration::from_millis(600);
+pub const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(600);
 /// Clients that are sent away may ask once more on a connection without a request for so long, so that most of them
 /// close with an answer; a new connection stays open for as long until its first request.
 const LAST_USE: Duration = Duration::from_millis(600);
@@ -65,7 +65,7 @@
     /// Where requests go.
     pub core: Rc<Core>,
     /// Where in its life the router is.
-    pub life: Lifecycle,
+    pub lifecycle: Lifecycle,
     /// The clients' socket is the platform's, and another process may accept from it.
     pub inherited: bool,
     /// Long-lived connections, where there are any.
@@ -95,7 +95,7 @@
     ) -> Rc<Self> {
         Rc::new(Shared {
             core,
-            life: Lifecycle::default(),
+            lifecycle: Lifecycle::default(),
             inherited,
             live,
             reloads: Cell::default(),
@@ -112,15 +112,15 @@
 
     /// Waits until no connection is to be accepted any more.
     async fn shut(&self) {
-        let _ = self.life.subscribe().wait_for(|(phase, _)| *phase == Phase::Stopping).await;
+        let _ = self.lifecycle.subscribe().wait_for(|(phase, _)| *phase == Phase::Stopping).await;
         if !self.inherited {
-            actix_rt::time::sleep(STILL_OPEN).await;
+            actix_rt::time::sleep(ACCEPT_AFTER_STOP).await;
         }
     }
 
     /// Whether one more connection of another process can be taken over.
-    pub fn takes_over(&self) -> bool {
-        self.open() < self.most && self.life.phase() != Phase::Stopping
+    pub fn can_take_over(&self) -> bool {
+        self.open_connections() < self.most && self.lifecycle.phase() != Phase::Stopping
     }
 
     /// Notes a connection that did not come through the listener, until the guard goes.
@@ -135,7 +135,7 @@
     pub fn accept_failed(&self, peer: &str, kind: AcceptError, error: &std::io::Error, most: usize) {
         log!("accept failed peer={peer} kind={} error=\"{error}\"", kind.name());
         self.accept_errors.set(self.accept_errors.get() + 1);
-        if kind == AcceptError::Exhausted {
+        if kind == AcceptError::NoDescriptors {
             let _ = (0..most).all(|_| self.evict(EvictReason::Descriptors));
         }
     }
@@ -146,7 +146,7 @@
     }
 
     /// Client connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.conns.borrow().len()
     }
 
@@ -163,7 +163,7 @@
     /// Makes room for one more connection, at the cost of the one that needs its place least: silent from the
     /// start, else longest without a request. False if none can go.
     fn make_room(&self) -> bool {
-        self.open() < self.most || self.evict(EvictReason::ClientSlot)
+        self.open_connections() < self.most || self.evict(EvictReason::ClientSlot)
     }
 
     /// Ends one connection without a request. False if there is none: one whose request has begun to come is owed an
@@ -270,7 +270,7 @@
         async move {
             let conn = request.conn_data::<Rc<Conn>>().cloned();
             let mut response = front(shared.clone(), request).await;
-            if shared.life.phase().sends_away() {
+            if shared.lifecycle.phase().sends_away() {
                 response.head_mut().set_connection_type(ConnectionType::Close);
             }
             if let Some(conn) = conn.filter(|_| !response.head().keep_alive()) {
@@ -318,7 +318,7 @@
     if shared.inherited {
         // Until then the process before this one takes what comes.
         let starting = |phase: &Phase| matches!(phase, Phase::Starting { .. });
-        let _ = shared.life.subscribe().wait_for(|(phase, _)| !starting(phase)).await;
+        let _ = shared.lifecycle.subscribe().wait_for(|(phase, _)| !starting(phase)).await;
     }
     let _accepting = Accepting::new(&shared.accepting);
     let mut shut = std::pin::pin!(shared.shut());
@@ -363,9 +363,9 @@
                 });
             }
             Err(error) => {
-                let kind = AcceptError::of(&error);
+                let kind = AcceptError::classify(&error);
                 shared.accept_failed("client", kind, &error, EVICTED_AT_ONCE);
-                if let Some(wait) = kind.wait() {
+                if let Some(wait) = kind.backoff() {
                     actix_rt::time::sleep(wait).await;
                 }
             }
@@ -388,12 +388,12 @@
     shared: &Shared,
 ) -> &'static str {
     let mut served = Box::pin(served);
-    let mut life = shared.life.subscribe();
+    let mut life = shared.lifecycle.subscribe();
     let born = Instant::now();
     let mut ending: Option<Ending> = None;
     let code = loop {
         let now = Instant::now();
-        let away = shared.life.away_since();
+        let away = shared.lifecycle.away_since();
         let by = |due: Instant| away.filter(|_| conn.begun()).map_or(due, |away| due.min(away + LAST_HEAD));
         let free = away.map(|away| away + LAST_USE).filter(|_| conn.idle() && !conn.begun());
         // Its first request may be on its way.
@@ -420,7 +420,7 @@
             end = &mut served => break match &ending {
                 // It ended as it was asked to, with nothing unread.
                 Some(ending) if end.is_ok() && !conn.ended.get() => ending.code,
-                _ => code(&end, conn, shared.life.phase()),
+                _ => code(&end, conn, shared.lifecycle.phase()),
             },
             // The server library may wait until it has written what nobody reads any more.
             () = conn.gone.notified() => if !conn.idle() { break "client-closed" },
--- a/router/src/clients/openai.rs
+++ b/router/src/clients/openai.rs
@@ -47,7 +47,7 @@
 }
 
 /// Answers one request.
-pub async fn front(api: Rc<Api>, shared: Rc<Shared>, mut request: Request) -> Response<BoxBody> {
+pub async fn handle(api: Rc<Api>, shared: Rc<Shared>, mut request: Request) -> Response<BoxBody> {
     let arrived = Instant::now();
     let busy = note(&request);
     let path = request.path().to_owned();
--- a/router/src/clients/platform.rs
+++ b/router/src/clients/platform.rs
@@ -36,7 +36,7 @@
 }
 
 /// Answers one request.
-pub async fn front(shared: Rc<Shared>, mut request: Request) -> Response<BoxBody> {
+pub async fn handle(shared: Rc<Shared>, mut request: Request) -> Response<BoxBody> {
     let arrived = Instant::now();
     let busy = note(&request);
     if request.path() == HEALTH {
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -89,7 +89,7 @@
 }
 
 /// What a request that asks for no upgrade gets.
-pub fn plain(request: &Request) -> Response<BoxBody> {
+pub fn reject_plain(request: &Request) -> Response<BoxBody> {
     match *request.method() {
         Method::GET => Bad::NoUpgrade.answer(),
         _ => Bad::Method.answer(),
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -81,7 +81,7 @@
     if !wanted.contains(&method) {
         return Answer { field: allowed, ..answer("405 Method Not Allowed", "wrong method") };
     }
-    let life = &shared.life;
+    let life = &shared.lifecycle;
     let told = |event| {
         if life.tell(event) {
             answer("200 OK", life.phase().name())
@@ -169,9 +169,9 @@
         let (mut stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                let kind = AcceptError::of(&error);
+                let kind = AcceptError::classify(&error);
                 shared.accept_failed("operator", kind, &error, EVICTED_AT_ONCE);
-                if let Some(wait) = kind.wait() {
+                if let Some(wait) = kind.backoff() {
                     tokio::time::sleep(wait).await;
                 }
                 continue;
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -1,6 +1,6 @@
 //! One router from its start to its end: reads the configuration, starts the parts, follows the signals.
 
-use crate::clients::{self, STILL_OPEN, Shared, openai, platform, websocket};
+use crate::clients::{self, ACCEPT_AFTER_STOP, Shared, openai, platform, websocket};
 use crate::config::{self, Config};
 use crate::lifecycle::Event;
 use crate::{core, handover, list, live, log, operators, servers, usage};
@@ -148,14 +148,14 @@
     let shared = Shared::new(core.clone(), live.clone(), config.client_sockets, config.body_bytes, inherits);
     let clients = shared.clone();
     let bare = move |end, socket| {
-        actix_rt::spawn(clients::carried::write(clients.clone(), end, socket));
+        actix_rt::spawn(clients::resumed_answer::write(clients.clone(), end, socket));
     };
     core.connect_bare(bare.clone());
     // Bound before this process takes clients: the one before it is told to end from then on.
     if let Some(listener) = handover.listen() {
         let room = shared.clone();
         let take = move |carried| fleet.carry(carried, bare.clone());
-        actix_rt::spawn(handover::serve(listener, move || room.takes_over(), take));
+        actix_rt::spawn(handover::serve(listener, move || room.can_take_over(), take));
     }
     // First of all listeners: operators may ask, and drain, before there is a list.
     if let Some(address) = config.mgmt {
@@ -171,13 +171,13 @@
     };
     let listener = listener.map_err(io(format!("listening on {}", config.listen)))?;
     let listen = listener.local_addr().map_err(io("the listener".to_owned()))?;
-    actix_rt::spawn(clients::serve(listener, shared.clone(), platform::front));
+    actix_rt::spawn(clients::serve(listener, shared.clone(), platform::handle));
     if let Some(told) = config.openai {
         let listener =
             TcpListener::bind(told.listen).await.map_err(io(format!("listening on {}", told.listen)))?;
         let listen = listener.local_addr().map_err(io("the listener".to_owned()))?;
         let api = openai::Api::new(told, config.seed);
-        let front = move |shared, request| openai::front(api.clone(), shared, request);
+        let front = move |shared, request| openai::handle(api.clone(), shared, request);
         actix_rt::spawn(clients::serve(listener, shared.clone(), front));
         log!("openai listen={listen}");
     }
@@ -187,10 +187,10 @@
         let listen = listener.local_addr().map_err(at("listening"))?;
         let (follows, connect) = (shared.clone(), Duration::from_nanos(config.links.connect.0));
         let following = live.clone();
-        actix_rt::spawn(async move { following.run(&follows.life).await });
+        actix_rt::spawn(async move { following.run(&follows.lifecycle).await });
         let of = shared.clone();
         let front = move |request, wire| websocket::serve(live.clone(), of.clone(), connect, request, wire);
-        actix_rt::spawn(clients::serve_upgrades(listener, shared.clone(), websocket::plain, front));
+        actix_rt::spawn(clients::serve_upgrades(listener, shared.clone(), websocket::reject_plain, front));
         log!("websocket listen={listen}");
     }
     log!("started name={} listen={listen} discovery={} inherited={inherits}", config.name, config.discovery);
@@ -202,7 +202,7 @@
             }
         };
         let _ = actix_rt::time::timeout(STARTING, able).await;
-        ready.life.tell(Event::Ready);
+        ready.lifecycle.tell(Event::Ready);
     });
 
     loop {
@@ -211,16 +211,16 @@
             Some(()) = hup.recv() => reload(&shared, &discovery, etcd.as_ref()),
         }
     }
-    log!("stopping requests={} connections={}", core.busy(), shared.open());
-    shared.life.tell(Event::Stop);
+    log!("stopping requests={} connections={}", core.busy(), shared.open_connections());
+    shared.lifecycle.tell(Event::Stop);
     let late = config.links.longest_wait.map_or(KILLED, |wait| Duration::from_nanos(wait.0).min(KILLED));
     actix_rt::spawn(async move {
         actix_rt::time::sleep(late).await;
         handover.begin();
     });
-    actix_rt::time::sleep(STILL_OPEN).await;
+    actix_rt::time::sleep(ACCEPT_AFTER_STOP).await;
     let last = Instant::now() + config.stop_timeout;
-    let requests_are_open = || shared.accepting() || shared.open() > 0 || core.busy() > 0;
+    let requests_are_open = || shared.accepting() || shared.open_connections() > 0 || core.busy() > 0;
     let under_way = || requests_are_open() || core.leases().0 > 0;
     // Since when there have been no requests, but leases.
     let mut only_leases_since = None;
@@ -246,7 +246,7 @@
         usage.stop().await;
     }
     let (ids, servers) = core.held();
-    let (busy, open, holds) = (core.busy(), shared.open(), core.leases().0);
+    let (busy, open, holds) = (core.busy(), shared.open_connections(), core.leases().0);
     log!("stopped requests={busy} connections={open} ids={ids} servers={servers} holds={holds}");
     Ok(())
 }
--- a/router/tests/accept_error.rs
+++ b/router/tests/accept_error.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn only_a_process_without_descriptors_calls_for_room() {
-    let of = |code| AcceptError::of(&io::Error::from_raw_os_error(code));
-    assert_eq!(of(libc::EMFILE), AcceptError::Exhausted);
+    let of = |code| AcceptError::classify(&io::Error::from_raw_os_error(code));
+    assert_eq!(of(libc::EMFILE), AcceptError::NoDescriptors);
     for code in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EBADF] {
         assert_eq!(of(code), AcceptError::Shortage, "{code}");
     }
@@ -19,6 +19,6 @@
 
 #[test]
 fn what_does_not_pass_at_once_is_waited_for() {
-    assert_eq!(AcceptError::Connection.wait(), None);
-    assert!(AcceptError::Shortage.wait() < AcceptError::Exhausted.wait());
+    assert_eq!(AcceptError::Connection.backoff(), None);
+    assert!(AcceptError::Shortage.backoff() < AcceptError::NoDescriptors.backoff());
 }
