--- a/router/src/clients/accept_error.rs
+++ b/router/src/clients/accept_error.rs
@@ -1,27 +1,28 @@
-//! What a failed `accept` asks for. accept(2) names three kinds: errors of the new connection itself, which Linux passes
-//! on; shortages of the whole machine, which pass; and this process being out of descriptors, which alone calls for room.
+//! Classifies errors of `accept`. accept(2) names three kinds: errors of the new connection itself, which Linux passes
+//! on; shortages of the whole machine, which are temporary; and this process being out of file descriptors. Only the
+//! last one is a reason to evict connections.
 
 use std::io;
 use std::time::Duration;
 
-/// How long to wait until a shortage of the machine may have passed.
+/// Backoff after a shortage of the machine.
 pub const SHORTAGE_BACKOFF: Duration = Duration::from_millis(5);
-/// How long to wait until connections that were asked to end have given their descriptors back.
+/// Backoff when this process is out of file descriptors: evicted connections need this time to free theirs.
 pub const NO_DESCRIPTORS_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Why `accept` failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// The new connection broke before it was accepted: the next one is not concerned.
+    /// The new connection broke before it was accepted; the next one is not affected.
     Connection,
-    /// A table or the memory of the machine is full: nothing of this process is at fault.
+    /// A system-wide table or the machine's memory is full; this process is not the cause.
     Shortage,
-    /// This process has no descriptor left.
+    /// This process has no file descriptor left.
     NoDescriptors,
 }
 
 impl AcceptError {
-    /// What an error of `accept` means.
+    /// Classifies an error of `accept`.
     pub fn classify(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(libc::EMFILE) => AcceptError::NoDescriptors,
@@ -41,12 +42,12 @@
                 | libc::ETIMEDOUT
                 | libc::ECONNRESET,
             ) => AcceptError::Connection,
-            // Not known to pass at once: waiting keeps the loop from spinning.
+            // An unknown error may persist: the backoff keeps the accept loop from spinning.
             _ => AcceptError::Shortage,
         }
     }
 
-    /// How long to wait before the next call.
+    /// How long to wait before the next `accept`.
     pub fn backoff(self) -> Option<Duration> {
         match self {
             AcceptError::Connection => None,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The name in the log.
+    /// The name in the log lines.
     pub fn name(self) -> &'static str {
         match self {
             AcceptError::Connection => "connection",
