--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: the server on which they call, and the fronts that speak to them. Parses, hands over and renders;
-//! no decision is taken here.
+//! The client side: the listener and the front ends. They parse requests, hand them to the core and render answers;
+//! they take no decisions.
 
 pub mod accept_error;
 mod conn;
@@ -18,9 +18,9 @@
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use actix_http::{HttpMessage as _, Method, Request, Response, StatusCode};
 use bytes::Bytes;
-use conn::{Busy, Conn, REQUEST_TIME};
+use conn::{Conn, REQUEST_TIMEOUT, RequestGuard};
 use futures_core::Stream;
-pub use listener::{ACCEPT_AFTER_STOP, Held, Shared, serve, serve_upgrades};
+pub use listener::{ACCEPT_AFTER_STOP, BodyReservation, Shared, serve, serve_upgrades};
 use shedrelay::{ClassId, TenantId};
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -28,204 +28,216 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// A body holds at most this much.
-const LARGEST_BODY: usize = 256 * 1024;
-/// Why a request was turned down before the core heard of it.
+/// Largest body of a request.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+
+/// Why a request was rejected before it reached the core, or by the core.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Bad {
-    /// No such path.
+pub enum RequestError {
+    /// The path is unknown.
     #[error("no such path")]
     Path,
-    /// Another method is wanted.
+    /// The path does not support the method.
     #[error("wrong method")]
     Method,
     /// The body is too large.
     #[error("the body is larger than 256 KiB")]
     TooLarge,
-    /// The body's chunks are none.
+    /// The body's chunked encoding is invalid.
     #[error("the body cannot be read")]
     Unreadable,
-    /// The body never came whole.
+    /// The body was not received whole.
     #[error("the body did not come whole")]
     Incomplete,
-    /// A field is missing or wrong.
+    /// A field of the head or the body is missing or invalid; the text is for the client.
     #[error("{0}")]
     Field(String),
-    /// The bodies of other requests take all the room there is.
+    /// The bodies of other requests take up all the memory for bodies.
     #[error("too many large requests at once")]
-    Crowded,
+    BodyMemoryFull,
     /// No server can use it.
     #[error("no server can use this request")]
     Unusable,
-    /// Its id is that of a request still open.
+    /// A request with the same id is still open.
     #[error("a request with this id is open")]
-    Twice,
-    /// Its client closed the connection in the moment in which it had come whole.
+    DuplicateId,
+    /// The client closed the connection just as the request was complete.
     #[error("the client left")]
-    Gone,
-    /// It stands behind an answer that ends the connection.
+    ClientLeft,
+    /// It follows an answer that announced the close of the connection.
     #[error("the connection ended with the answer before")]
-    Behind,
+    AfterClose,
 }
 
-impl Bad {
-    /// The status that says so.
+impl RequestError {
+    /// The HTTP status of its answer.
     pub fn status(&self) -> StatusCode {
         match self {
-            Bad::Path => StatusCode::NOT_FOUND,
-            Bad::Method => StatusCode::METHOD_NOT_ALLOWED,
-            Bad::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Bad::Incomplete | Bad::Gone => StatusCode::REQUEST_TIMEOUT,
-            Bad::Field(_) | Bad::Unusable | Bad::Unreadable => StatusCode::BAD_REQUEST,
-            Bad::Twice => StatusCode::CONFLICT,
-            Bad::Crowded | Bad::Behind => StatusCode::SERVICE_UNAVAILABLE,
+            RequestError::Path => StatusCode::NOT_FOUND,
+            RequestError::Method => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::Incomplete | RequestError::ClientLeft => StatusCode::REQUEST_TIMEOUT,
+            RequestError::Field(_) | RequestError::Unusable | RequestError::Unreadable => {
+                StatusCode::BAD_REQUEST
+            }
+            RequestError::DuplicateId => StatusCode::CONFLICT,
+            RequestError::BodyMemoryFull | RequestError::AfterClose => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
 
-/// A request ended before the core heard of it: it is counted all the same, once.
-pub fn untaken(shared: &Shared, request: &Request, class: Option<ClassId>, status: StatusCode) {
-    let gone = || request.conn_data::<Rc<Conn>>().is_some_and(|conn| conn.ended.get());
+/// Counts a request that ended before it reached the core.
+pub fn count_unsubmitted(shared: &Shared, request: &Request, class: Option<ClassId>, status: StatusCode) {
+    let client_closed = || request.conn_data::<Rc<Conn>>().is_some_and(|conn| conn.client_closed.get());
     let how = match status {
         StatusCode::SERVICE_UNAVAILABLE => Untaken::Refused,
-        StatusCode::REQUEST_TIMEOUT if gone() => Untaken::Left,
+        StatusCode::REQUEST_TIMEOUT if client_closed() => Untaken::Left,
         _ => Untaken::Failed,
     };
     shared.core.untaken(class, how);
 }
 
-/// The answer to this request is the last one on its connection.
-pub fn last(request: &Request) {
+/// Makes the answer to this request the last one on its connection.
+pub fn set_last_answer(request: &Request) {
     if let Some(conn) = request.conn_data::<Rc<Conn>>() {
-        conn.last();
+        conn.set_last_answer();
     }
 }
 
-/// Whether a request tells a length that no body may have.
-pub fn check_length(request: &Request) -> Result<(), Bad> {
-    let told = request.headers().get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-    if told.is_some_and(|told: u64| told > LARGEST_BODY as u64) { Err(Bad::TooLarge) } else { Ok(()) }
+/// Rejects a request whose `Content-Length` exceeds the limit.
+pub fn check_content_length(request: &Request) -> Result<(), RequestError> {
+    let length = request.headers().get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
+    if length.is_some_and(|length: u64| length > MAX_BODY_BYTES as u64) {
+        Err(RequestError::TooLarge)
+    } else {
+        Ok(())
+    }
 }
 
-/// Reads a request's body, up to the limit and within the time that is left to its client.
-pub async fn body(shared: &Shared, request: &mut Request) -> Result<Body, Bad> {
-    check_length(request)?;
+/// Reads a request's body, up to the limit and before the request's deadline.
+pub async fn read_body(shared: &Shared, request: &mut Request) -> Result<Body, RequestError> {
+    check_content_length(request)?;
     let conn = request.conn_data::<Rc<Conn>>().cloned();
-    let due = conn.as_ref().and_then(|conn| conn.take_due());
-    let mut held = shared.hold();
+    let due = conn.as_ref().and_then(|conn| conn.take_request_due());
+    let mut reservation = shared.reserve_body();
     let mut payload = request.take_payload();
-    let all = async {
+    let read_all = async {
         let mut body = Vec::new();
         while let Some(piece) = poll_fn(|cx| Pin::new(&mut payload).poll_next(cx)).await {
-            // The server library calls both by one name: chunks that are none, and a client that has gone.
-            let gone = || conn.as_ref().is_some_and(|conn| conn.ended.get());
-            let piece = piece.map_err(|_: PayloadError| match gone() {
-                true => Bad::Incomplete,
-                false => Bad::Unreadable,
+            // The server library reports an invalid chunked encoding and a closed connection as the same error.
+            let client_closed = || conn.as_ref().is_some_and(|conn| conn.client_closed.get());
+            let piece = piece.map_err(|_: PayloadError| match client_closed() {
+                true => RequestError::Incomplete,
+                false => RequestError::Unreadable,
             })?;
-            if body.len() + piece.len() > LARGEST_BODY {
-                return Err(Bad::TooLarge);
+            if body.len() + piece.len() > MAX_BODY_BYTES {
+                return Err(RequestError::TooLarge);
             }
-            if !held.add(piece.len()) {
-                return Err(Bad::Crowded);
+            if !reservation.grow(piece.len()) {
+                return Err(RequestError::BodyMemoryFull);
             }
             body.extend_from_slice(&piece);
         }
         Ok(Bytes::from(body))
     };
-    let due = due.unwrap_or_else(|| Instant::now() + REQUEST_TIME);
-    let bytes = tokio::time::timeout_at(due.into(), all).await.unwrap_or(Err(Bad::Incomplete))?;
+    let due = due.unwrap_or_else(|| Instant::now() + REQUEST_TIMEOUT);
+    let bytes =
+        tokio::time::timeout_at(due.into(), read_all).await.unwrap_or(Err(RequestError::Incomplete))?;
     if let Some(conn) = conn {
-        conn.whole();
+        conn.set_body_complete();
     }
-    Ok(Body { bytes, held })
+    Ok(Body { bytes, reservation })
 }
 
-/// By what servers know a repeat of a request: it passes unchanged, as the request does.
-pub fn idempotency_key(head: &HeaderMap) -> Result<Option<Bytes>, Bad> {
+/// The idempotency key, by which servers recognise a repeat of a request. It is passed on unchanged.
+pub fn idempotency_key(head: &HeaderMap) -> Result<Option<Bytes>, RequestError> {
     let mut values = head.get_all(IDEMPOTENCY_KEY);
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
         (Some(value), None) => Ok(Some(Bytes::copy_from_slice(value.as_bytes()))),
-        _ => Err(Bad::Field(format!("{IDEMPOTENCY_KEY} is wrong"))),
+        _ => Err(RequestError::Field(format!("{IDEMPOTENCY_KEY} is wrong"))),
     }
 }
 
-/// Hands a request to the core. Guards against one that begins although its client has gone, its last bytes and the
-/// close having come together; and against one that its client sends again, since the answer before said that the
-/// connection ends: the server library goes on with what it has read behind it.
-pub fn submit(shared: &Shared, request: &Request, call: Call) -> Result<ClientEnd, Bad> {
+/// Hands a request to the core, unless its client has left or sends it again elsewhere. A request's last bytes and the
+/// close of its connection may arrive together. After an answer that announced the close, the server library still
+/// processes requests that it has read behind it, while the client sends them again on another connection.
+pub fn submit(shared: &Shared, request: &Request, call: Call) -> Result<ClientEnd, RequestError> {
     let conn = request.conn_data::<Rc<Conn>>();
-    if conn.is_some_and(|conn| conn.ended.get()) {
-        return Err(Bad::Gone);
+    if conn.is_some_and(|conn| conn.client_closed.get()) {
+        return Err(RequestError::ClientLeft);
     }
-    if conn.is_some_and(|conn| conn.said_close.get()) {
-        return Err(Bad::Behind);
+    if conn.is_some_and(|conn| conn.close_announced.get()) {
+        return Err(RequestError::AfterClose);
     }
-    shared.core.submit(Exchange::new(call)).ok_or(Bad::Twice)
+    shared.core.submit(Exchange::new(call)).ok_or(RequestError::DuplicateId)
 }
 
-/// A request's body, and its part of the memory that bodies may take.
+/// A request's body, and its share of the memory for bodies.
 pub struct Body {
-    /// What came.
+    /// The body.
     pub bytes: Bytes,
-    /// Goes with the request.
-    pub held: Held,
+    /// To be kept as long as the request.
+    pub reservation: BodyReservation,
 }
 
-/// The key is missing or not known.
+/// The key is missing or unknown.
 #[derive(Debug)]
-pub struct NoKey;
+pub struct InvalidKey;
 
-/// Whose key an `Authorization` field holds; nobody's where no keys are told.
-pub fn holder(keys: &[(String, TenantId)], field: Option<&str>) -> Result<Option<TenantId>, NoKey> {
+/// The tenant to which the key in an `Authorization` field belongs; none if no keys are configured.
+pub fn tenant_of_key(
+    keys: &[(String, TenantId)],
+    field: Option<&str>,
+) -> Result<Option<TenantId>, InvalidKey> {
     if keys.is_empty() {
         return Ok(None);
     }
     let key = field.and_then(|text| text.strip_prefix("Bearer "));
     let found = key.and_then(|key| keys.iter().find(|(known, _)| known == key.trim()));
-    found.map(|(_, tenant)| Some(*tenant)).ok_or(NoKey)
+    found.map(|(_, tenant)| Some(*tenant)).ok_or(InvalidKey)
 }
 
-/// Notes a request on its connection, until its answer is out.
-pub fn note(request: &Request) -> Option<Busy> {
-    request.conn_data::<Rc<Conn>>().map(Conn::request)
+/// Registers a request on its connection until the guard is dropped, at the end of its answer.
+pub fn track_request(request: &Request) -> Option<RequestGuard> {
+    request.conn_data::<Rc<Conn>>().map(Conn::start_request)
 }
 
-/// Seconds as `Retry-After` tells them.
-pub fn seconds(time: Duration) -> Option<HeaderValue> {
-    HeaderValue::from_str(&format!("{:.3}", time.as_secs_f64())).ok()
+/// The value of a `Retry-After` field, in seconds.
+pub fn retry_after_value(delay: Duration) -> Option<HeaderValue> {
+    HeaderValue::from_str(&format!("{:.3}", delay.as_secs_f64())).ok()
 }
 
-/// An answer that streams: each piece goes out as it comes, and one that breaks off ends its connection
+/// The body of a streamed answer. Each piece is sent as it arrives; an answer that breaks off ends its connection
 /// without a last chunk.
-pub struct Answer<R> {
+pub struct StreamedBody<R> {
     end: ClientEnd,
-    render: R,
+    renderer: R,
     broken: bool,
+    /// One pending poll after the break has let the server library write the earlier pieces.
     flushed: bool,
-    _busy: Option<Busy>,
+    _guard: Option<RequestGuard>,
 }
 
-/// Turns pieces of a server's stream into what a front sends.
+/// Turns pieces of a server's stream into what a front end sends.
 pub trait Render: Unpin + 'static {
     /// What to send for a piece; may be empty.
-    fn piece(&mut self, piece: Bytes) -> Bytes;
+    fn render(&mut self, piece: Bytes) -> Bytes;
 
     /// What to send when the answer breaks off; may be empty.
-    fn broken(&mut self) -> Bytes {
+    fn render_broken(&mut self) -> Bytes {
         Bytes::new()
     }
 }
 
-impl<R: Render> Answer<R> {
+impl<R: Render> StreamedBody<R> {
     /// The body of an answer whose opening was a stream.
-    pub fn new(end: ClientEnd, render: R, busy: Option<Busy>) -> Self {
-        Answer { end, render, broken: false, flushed: false, _busy: busy }
+    pub fn new(end: ClientEnd, renderer: R, guard: Option<RequestGuard>) -> Self {
+        StreamedBody { end, renderer, broken: false, flushed: false, _guard: guard }
     }
 }
 
-impl<R: Render> MessageBody for Answer<R> {
+impl<R: Render> MessageBody for StreamedBody<R> {
     type Error = Broken;
 
     fn size(&self) -> BodySize {
@@ -237,15 +249,15 @@
         while !this.broken {
             match this.end.poll_piece(cx) {
                 Poll::Ready(Some(Ok(piece))) => {
-                    let piece = this.render.piece(piece);
+                    let piece = this.renderer.render(piece);
                     if !piece.is_empty() {
                         return Poll::Ready(Some(Ok(piece)));
                     }
                 }
                 Poll::Ready(Some(Err(Broken))) => {
-                    // What came before must be written first: an error drops what waits in the buffer.
+                    // Earlier pieces must be written first: an error discards the server library's write buffer.
                     (this.broken, this.flushed) = (true, false);
-                    let last = this.render.broken();
+                    let last = this.renderer.render_broken();
                     if !last.is_empty() {
                         return Poll::Ready(Some(Ok(last)));
                     }
@@ -262,17 +274,17 @@
     }
 }
 
-/// Whether the router could serve now.
+/// The answer to a health check: whether the router can serve requests now.
 fn health(shared: &Shared, request: &Request) -> Response<BoxBody> {
     if !matches!(*request.method(), Method::GET | Method::HEAD) {
-        return Response::new(Bad::Method.status());
+        return Response::new(RequestError::Method.status());
     }
-    // On an inherited socket the address is the next process's as soon as this one stops: a no from here, on a
-    // connection that is still open, would speak for both.
-    let takes = match shared.lifecycle.phase() {
+    // Once this process stops, the address of an inherited socket belongs to the next process. A refusal on a
+    // connection that is still open here would count against both.
+    let takes_clients = match shared.lifecycle.phase() {
         Phase::Stopping => shared.inherited,
         phase => phase.takes_clients(),
     };
-    let able = takes && shared.core.able();
-    Response::new(if able { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    let healthy = takes_clients && shared.core.able();
+    Response::new(if healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/router/src/clients/conn.rs
+++ b/router/src/clients/conn.rs
@@ -1,6 +1,6 @@
-//! A client's connection: what its log line needs to know of it, by when its next request must be whole, and how
-//! much is read of it. actix-http bounds neither the time of a body or of a later head nor, to less than 128 KiB,
-//! what it takes in; and while a request is under way it reads on without a pause. Both are guarded against here.
+//! A client's connection: its state for the log and the listener, the deadline of its next request, and limits on what
+//! is read from it. actix-http sets no time limit on a body or on a later head, buffers up to 128 KiB, and reads on
+//! while a request is in progress; this module adds the missing limits.
 
 use crate::exchange::Surrender;
 use fawnstream_attempts::decisions::ConnectionFacts;
@@ -17,72 +17,75 @@
 use tokio::sync::Notify;
 use tokio::time::{Sleep, sleep_until};
 
-/// A request comes whole in this time, head and body, from the accept or, on a connection that was used before,
-/// from its first byte on. A client that says nothing has as long.
-pub const REQUEST_TIME: Duration = Duration::from_millis(2_400);
-/// A connection without a request is kept for this long after an answer.
-pub const KEEP: Duration = Duration::from_millis(2_300);
-/// A client that takes nothing of its answer for so long has left, whatever its connection says.
-pub const TAKES_NOTHING: Duration = Duration::from_secs(10);
-/// A head is no longer than this.
-const LARGEST_HEAD: usize = 32 * 1024;
-/// Read at one go; then what came is looked at first.
-const PIECE: usize = 16 * 1024;
-/// What is read behind a request while its answer is under way.
-const AHEAD: usize = 16 * 1024;
-/// How often a client that is not read from is looked at: its close stands behind what nobody reads, and nothing may be
-/// begun for it 100 ms later.
-const LOOK_CLOSED: Duration = Duration::from_millis(40);
+/// Time limit for a whole request, head and body. It runs from the accept, or on a reused connection from the first
+/// byte of the request. A new connection that sends nothing is closed after the same time.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
+/// How long a connection without a request stays open after an answer.
+pub const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// A client that accepts no bytes of its answer for this long counts as gone, whatever the state of its connection.
+pub const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Largest head of a request.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Bytes read in one go before the server library gets to parse them.
+const READ_BURST_BYTES: usize = 16 * 1024;
+/// Bytes that are read behind a request while its answer is in progress.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// How often a connection that is not read from is checked for its close, which arrives behind the unread bytes.
+/// Nothing may be started for a client later than 100 ms after it closed.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
+/// Whether the last answer on a connection, an error after which nothing is read, has been written.
 #[derive(Clone, Copy, Default, PartialEq)]
-enum Over {
+enum LastAnswer {
     #[default]
-    No,
-    Told,
-    Out,
+    None,
+    Pending,
+    Written,
 }
 
-/// What happened on a connection.
+/// The state of a client's connection.
 pub struct Conn {
-    /// Requests whose head came.
+    /// Requests whose head has been received.
     pub requests: Cell<u64>,
-    /// An answer has said that the connection ends with it: its client takes what stands behind for unread.
-    pub said_close: Cell<bool>,
-    /// The client ended it.
-    pub ended: Cell<bool>,
-    /// It has just done so.
-    pub gone: Notify,
-    /// Its head grew too large.
-    pub large: Cell<bool>,
-    /// Since when it is without a request.
-    pub since: Cell<Instant>,
-    /// Its place is needed for another: it is about to end.
+    /// An answer announced the close of the connection: its client takes requests behind it for unread.
+    pub close_announced: Cell<bool>,
+    /// The client closed the connection.
+    pub client_closed: Cell<bool>,
+    /// Signals that the client closed the connection.
+    pub client_close: Notify,
+    /// The head of a request exceeded the limit.
+    pub head_too_large: Cell<bool>,
+    /// Since when it has been without a request.
+    pub idle_since: Cell<Instant>,
+    /// Signals that it is evicted to make room for another connection.
     pub evict: Notify,
-    /// It was told so.
-    pub leaving: Cell<bool>,
-    /// Its client is sent away: who follows it hears when it is without a request.
-    pub away: Cell<bool>,
-    /// It ends as soon as nothing unread stands on it.
-    pub leave: Cell<bool>,
-    /// An answer is out while its client is sent away, or its connection is asked for.
-    pub free: Notify,
-    /// Who asks for the connection, to go on with its answer elsewhere.
+    /// It has been chosen for eviction.
+    pub evicting: Cell<bool>,
+    /// The router is draining: the end of an answer is signalled by `wake`.
+    pub draining: Cell<bool>,
+    /// It closes as soon as no unread bytes remain on it.
+    pub close_when_read: Cell<bool>,
+    /// Signals that an answer ended while the router is draining, or that the connection is asked for.
+    pub wake: Notify,
+    /// The request for the connection, to continue its answer elsewhere.
     pub surrender: RefCell<Option<Surrender>>,
-    /// The socket, once the server library has let go of it.
+    /// The socket, once the server library has dropped its stream.
     pub socket: RefCell<Option<TcpStream>>,
-    /// It speaks another protocol now.
+    /// It has been upgraded to another protocol.
     pub upgraded: Cell<bool>,
-    /// Its last answer was an error after which nothing is read: out already, or about to be.
-    over: Cell<Over>,
-    /// Since when the client takes nothing of its answer.
-    stuck: Cell<Option<Instant>>,
-    busy: Cell<u32>,
-    /// By when the next request is whole.
-    due: Cell<Option<Instant>>,
-    /// Bytes of a head, or ahead of the answer under way.
-    bytes: Cell<usize>,
-    whole: Cell<bool>,
-    paused: RefCell<Option<Waker>>,
+    last_answer: Cell<LastAnswer>,
+    /// Since when the client has accepted no bytes of its answer.
+    write_stalled_since: Cell<Option<Instant>>,
+    /// Requests whose answer is in progress.
+    active_requests: Cell<u32>,
+    /// When the next request must be complete.
+    request_due: Cell<Option<Instant>>,
+    /// Bytes received of a head, or read ahead behind the request in progress.
+    pending_bytes: Cell<usize>,
+    /// The body of the request in progress has been received whole.
+    body_complete: Cell<bool>,
+    /// Wakes the reader, which pauses when too much has been read ahead.
+    paused_reader: RefCell<Option<Waker>>,
 }
 
 impl Conn {
@@ -91,140 +94,145 @@
         let now = Instant::now();
         Rc::new(Conn {
             requests: Cell::new(0),
-            said_close: Cell::new(false),
-            ended: Cell::new(false),
-            gone: Notify::new(),
-            large: Cell::new(false),
-            since: Cell::new(now),
+            close_announced: Cell::new(false),
+            client_closed: Cell::new(false),
+            client_close: Notify::new(),
+            head_too_large: Cell::new(false),
+            idle_since: Cell::new(now),
             evict: Notify::new(),
-            leaving: Cell::new(false),
-            away: Cell::new(false),
-            leave: Cell::new(false),
-            free: Notify::new(),
+            evicting: Cell::new(false),
+            draining: Cell::new(false),
+            close_when_read: Cell::new(false),
+            wake: Notify::new(),
             surrender: RefCell::default(),
             socket: RefCell::default(),
             upgraded: Cell::new(false),
-            over: Cell::default(),
-            stuck: Cell::new(None),
-            busy: Cell::new(0),
-            due: Cell::new(Some(now + REQUEST_TIME)),
-            bytes: Cell::new(0),
-            whole: Cell::new(false),
-            paused: RefCell::default(),
+            last_answer: Cell::default(),
+            write_stalled_since: Cell::new(None),
+            active_requests: Cell::new(0),
+            request_due: Cell::new(Some(now + REQUEST_TIMEOUT)),
+            pending_bytes: Cell::new(0),
+            body_complete: Cell::new(false),
+            paused_reader: RefCell::default(),
         })
     }
 
-    /// A request's head came; until the guard goes its answer is under way.
-    pub fn request(self: &Rc<Self>) -> Busy {
+    /// Registers a request whose head has been received; its answer is in progress until the guard is dropped.
+    pub fn start_request(self: &Rc<Self>) -> RequestGuard {
         self.requests.set(self.requests.get() + 1);
-        self.busy.set(self.busy.get() + 1);
-        self.bytes.set(0);
-        self.leave.set(false);
-        Busy(self.clone())
+        self.active_requests.set(self.active_requests.get() + 1);
+        self.pending_bytes.set(0);
+        self.close_when_read.set(false);
+        RequestGuard(self.clone())
     }
 
-    /// No request is under way.
-    pub fn idle(&self) -> bool {
-        self.busy.get() == 0
+    /// Whether no request is in progress.
+    pub fn is_idle(&self) -> bool {
+        self.active_requests.get() == 0
     }
 
-    /// What decides whether it may end for another one.
+    /// What the decision on its eviction depends on.
     pub fn facts(&self) -> ConnectionFacts {
         ConnectionFacts {
-            busy: !self.idle(),
-            partial_request: self.begun(),
-            closing: self.leaving.get(),
-            idle_for: self.since.get().elapsed(),
+            busy: !self.is_idle(),
+            partial_request: self.head_started(),
+            closing: self.evicting.get(),
+            idle_for: self.idle_since.get().elapsed(),
         }
     }
 
-    /// A request that came whole is under way, and its client is still there.
-    pub fn owes(&self) -> bool {
-        !self.idle() && self.whole.get() && !self.ended.get()
+    /// Whether a complete request is in progress and its client is still connected.
+    pub fn owes_answer(&self) -> bool {
+        !self.is_idle() && self.body_complete.get() && !self.client_closed.get()
     }
 
-    /// Its answer's bytes are all with the system, and its client has sent nothing behind its request: the connection
-    /// can go on elsewhere.
-    pub fn quiet(&self) -> bool {
-        let written = self.stuck.get().is_none() && !self.ended.get() && self.over.get() == Over::No;
-        written && self.busy.get() == 1 && self.whole.get() && self.bytes.get() == 0
+    /// Whether its answer can continue elsewhere: the system has taken all bytes written so far, and the client has
+    /// sent nothing behind its request.
+    pub fn can_surrender(&self) -> bool {
+        let written = self.write_stalled_since.get().is_none()
+            && !self.client_closed.get()
+            && self.last_answer.get() == LastAnswer::None;
+        written
+            && self.active_requests.get() == 1
+            && self.body_complete.get()
+            && self.pending_bytes.get() == 0
     }
 
-    /// Asks for the connection.
-    pub fn ask(&self, surrender: Surrender) {
+    /// Asks to hand the connection over, so that its answer continues elsewhere.
+    pub fn ask_to_surrender(&self, surrender: Surrender) {
         self.surrender.replace(Some(surrender));
-        self.free.notify_one();
+        self.wake.notify_one();
     }
 
-    /// Part of a head came.
-    pub fn begun(&self) -> bool {
-        self.idle() && self.bytes.get() > 0
+    /// Whether part of a head has been received.
+    pub fn head_started(&self) -> bool {
+        self.is_idle() && self.pending_bytes.get() > 0
     }
 
-    /// By when the next request is whole, or the connection closes.
-    pub fn due(&self) -> Option<Instant> {
-        self.due.get()
+    /// When the next request must be complete; the connection closes if it is not.
+    pub fn request_due(&self) -> Option<Instant> {
+        self.request_due.get()
     }
 
-    /// The answer about to go out is the last one, whatever its client still sends.
-    pub fn last(&self) {
-        self.over.set(Over::Told);
+    /// Makes the answer about to be written the last one, whatever the client sends after it.
+    pub fn set_last_answer(&self) {
+        self.last_answer.set(LastAnswer::Pending);
     }
 
-    /// Its client has taken nothing of an answer for too long.
-    pub fn stuck(&self) -> bool {
-        self.stuck.get().is_some_and(|since| since.elapsed() >= TAKES_NOTHING)
+    /// Whether its client has accepted no bytes of an answer for too long.
+    pub fn write_stalled(&self) -> bool {
+        self.write_stalled_since.get().is_some_and(|since| since.elapsed() >= WRITE_STALL_TIMEOUT)
     }
 
-    /// The time that is left for a body; who reads it sees to it.
-    pub fn take_due(&self) -> Option<Instant> {
-        self.due.take()
+    /// Takes the deadline for the caller, who reads the body and has to keep it.
+    pub fn take_request_due(&self) -> Option<Instant> {
+        self.request_due.take()
     }
 
-    /// A request's body is whole.
-    pub fn whole(&self) {
-        self.whole.set(true);
+    /// Notes that a request's body has been received whole.
+    pub fn set_body_complete(&self) {
+        self.body_complete.set(true);
     }
 }
 
-/// An answer under way.
-pub struct Busy(Rc<Conn>);
+/// Keeps an answer in progress until dropped.
+pub struct RequestGuard(Rc<Conn>);
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let conn = &self.0;
-        conn.busy.set(conn.busy.get() - 1);
-        if conn.idle() {
+        conn.active_requests.set(conn.active_requests.get() - 1);
+        if conn.is_idle() {
             let now = Instant::now();
-            conn.since.set(now);
-            conn.due.set(Some(now + KEEP));
-            conn.bytes.set(0);
-            conn.whole.set(false);
-            if let Some(paused) = conn.paused.take() {
+            conn.idle_since.set(now);
+            conn.request_due.set(Some(now + KEEP_ALIVE_TIMEOUT));
+            conn.pending_bytes.set(0);
+            conn.body_complete.set(false);
+            if let Some(paused) = conn.paused_reader.take() {
                 paused.wake();
             }
-            if conn.away.get() {
-                conn.free.notify_one();
+            if conn.draining.get() {
+                conn.wake.notify_one();
             }
         }
     }
 }
 
-/// A connection's bytes.
-pub struct Wire {
+/// The byte stream of a connection, as the server library reads and writes it.
+pub struct ClientStream {
     stream: Option<TcpStream>,
-    /// What happened on it.
+    /// The connection's state.
     pub conn: Rc<Conn>,
-    /// Read since there was nothing more to read.
-    read: usize,
-    /// When a client that is not read from is looked at next.
-    look: Option<Pin<Box<Sleep>>>,
+    /// Bytes read since the reader last paused or found nothing to read.
+    burst: usize,
+    /// When a connection that is not read from is checked next for its close.
+    close_check: Option<Pin<Box<Sleep>>>,
 }
 
-impl Wire {
+impl ClientStream {
     /// Wraps an accepted connection.
     pub fn new(stream: TcpStream, conn: Rc<Conn>) -> Self {
-        Wire { stream: Some(stream), conn, read: 0, look: None }
+        ClientStream { stream: Some(stream), conn, burst: 0, close_check: None }
     }
 
     fn stream(&mut self) -> io::Result<Pin<&mut TcpStream>> {
@@ -232,23 +240,23 @@
     }
 }
 
-/// What stands on a connection, unread.
+/// What can be read next from a connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Stands {
+enum Unread {
     Nothing,
     Bytes,
-    /// Its end, in order or not.
+    /// The end of the connection, by a close or an error.
     End,
 }
 
-impl Wire {
-    /// Whether a client that is not read from has closed, its close standing behind bytes that are not read. Looks again
-    /// in a while.
-    fn closed_behind(&mut self, cx: &mut Context<'_>) -> bool {
-        let next = || Instant::now() + LOOK_CLOSED;
-        let look = self.look.get_or_insert_with(|| Box::pin(sleep_until(next().into())));
-        while look.as_mut().poll(cx).is_ready() {
-            look.as_mut().reset(next().into());
+impl ClientStream {
+    /// Whether the client has closed a connection that is not read from: its close is behind unread bytes.
+    /// Schedules the next check.
+    fn closed_behind_unread(&mut self, cx: &mut Context<'_>) -> bool {
+        let next = || Instant::now() + CLOSE_CHECK_INTERVAL;
+        let check = self.close_check.get_or_insert_with(|| Box::pin(sleep_until(next().into())));
+        while check.as_mut().poll(cx).is_ready() {
+            check.as_mut().reset(next().into());
         }
         let Some(stream) = &self.stream else { return false };
         match pin!(stream.ready(Interest::READABLE)).poll(cx) {
@@ -258,110 +266,111 @@
         }
     }
 
-    /// Notes that the client has closed.
-    fn ended(&self) {
-        self.conn.ended.set(true);
-        self.conn.gone.notify_one();
+    /// Notes that the client has closed the connection.
+    fn set_client_closed(&self) {
+        self.conn.client_closed.set(true);
+        self.conn.client_close.notify_one();
     }
 
-    /// What stands on the connection, asked of the system itself: what it has told so far may be old.
-    fn stands(&self) -> Stands {
+    /// Asks the system what can be read next: the runtime's readiness may be out of date.
+    fn peek_unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
-        let Some(stream) = &self.stream else { return Stands::End };
+        let Some(stream) = &self.stream else { return Unread::End };
         match SockRef::from(stream).peek(&mut byte) {
-            Ok(0) => Stands::End,
-            Ok(_) => Stands::Bytes,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Stands::Nothing,
-            Err(_) => Stands::End,
+            Ok(0) => Unread::End,
+            Ok(_) => Unread::Bytes,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
+            Err(_) => Unread::End,
         }
     }
 }
 
-impl Drop for Wire {
+impl Drop for ClientStream {
     fn drop(&mut self) {
-        // Its end is seen to by who accepted it.
+        // The task that accepted the connection closes it.
         *self.conn.socket.borrow_mut() = self.stream.take();
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let conn = this.conn.clone();
-        if conn.over.get() == Over::Out {
-            // The server library would read a chunked body to its end, however long that takes, and close then.
+        if conn.last_answer.get() == LastAnswer::Written {
+            // Reports the end of the stream: the server library would otherwise read a chunked body to its end,
+            // however long that takes, before it closes.
             return Poll::Ready(Ok(()));
         }
-        if this.read >= PIECE {
-            this.read = 0;
+        if this.burst >= READ_BURST_BYTES {
+            this.burst = 0;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        if conn.idle() && conn.bytes.get() >= LARGEST_HEAD {
-            conn.large.set(true);
+        if conn.is_idle() && conn.pending_bytes.get() >= MAX_HEAD_BYTES {
+            conn.head_too_large.set(true);
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
-        if conn.whole.get() && conn.bytes.get() >= AHEAD {
-            *conn.paused.borrow_mut() = Some(cx.waker().clone());
-            if this.closed_behind(cx) {
-                this.ended();
+        if conn.body_complete.get() && conn.pending_bytes.get() >= MAX_READ_AHEAD_BYTES {
+            *conn.paused_reader.borrow_mut() = Some(cx.waker().clone());
+            if this.closed_behind_unread(cx) {
+                this.set_client_closed();
                 return Poll::Ready(Ok(()));
             }
             return Poll::Pending;
         }
-        this.look = None;
+        this.close_check = None;
         let before = buf.filled().len();
         let read = this.stream()?.poll_read(cx, buf);
-        let came = buf.filled().len() - before;
+        let received = buf.filled().len() - before;
         match read {
             Poll::Pending => {
-                this.read = 0;
-                // To the server library the client has closed, so it ends the connection in order. Guards against
-                // closing on a request that has come and was not seen yet.
-                if conn.leave.get()
-                    && conn.idle()
-                    && conn.bytes.get() == 0
-                    && this.stands() == Stands::Nothing
+                this.burst = 0;
+                // Reports the end of the stream, so that the server library closes the connection in order. Peeks
+                // first, so that a request that has arrived but was not seen yet is not cut off.
+                if conn.close_when_read.get()
+                    && conn.is_idle()
+                    && conn.pending_bytes.get() == 0
+                    && this.peek_unread() == Unread::Nothing
                 {
                     return Poll::Ready(Ok(()));
                 }
             }
-            Poll::Ready(Ok(())) if came == 0 => this.ended(),
+            Poll::Ready(Ok(())) if received == 0 => this.set_client_closed(),
             _ => {}
         }
-        // The runtime tells of an end that stands right behind these bytes only later, when what they ask for has begun.
-        if came > 0 && this.stands() == Stands::End {
-            conn.ended.set(true);
+        // The runtime reports a close right behind these bytes only later, when their request has already started.
+        if received > 0 && this.peek_unread() == Unread::End {
+            conn.client_closed.set(true);
         }
-        this.read += came;
-        // A first one that comes in the moment in which its connection was to end has as long as any other.
-        let anew = conn.requests.get() > 0 || conn.leave.get();
-        if came > 0 && conn.idle() && conn.bytes.get() == 0 && anew {
-            conn.due.set(Some(Instant::now() + REQUEST_TIME));
+        this.burst += received;
+        // A first request that arrives just as its connection was about to close gets the full time.
+        let new_deadline = conn.requests.get() > 0 || conn.close_when_read.get();
+        if received > 0 && conn.is_idle() && conn.pending_bytes.get() == 0 && new_deadline {
+            conn.request_due.set(Some(Instant::now() + REQUEST_TIMEOUT));
         }
-        if conn.idle() || conn.whole.get() {
-            conn.bytes.set(conn.bytes.get() + came);
+        if conn.is_idle() || conn.body_complete.get() {
+            conn.pending_bytes.set(conn.pending_bytes.get() + received);
         }
         read
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let wrote = this.stream()?.poll_write(cx, buf);
-        // The server library asks for no more of an answer that waits to be written, so it would never hear that
-        // the answer has ended: a client that reads nothing would keep its place for good.
-        let stuck = &this.conn.stuck;
-        stuck.set(wrote.is_pending().then(|| stuck.get().unwrap_or_else(Instant::now)));
+        // While written bytes wait, the server library does not poll the answer and never learns that it has ended. A
+        // client that reads nothing would keep its place for good without this time.
+        let stalled_since = &this.conn.write_stalled_since;
+        stalled_since.set(wrote.is_pending().then(|| stalled_since.get().unwrap_or_else(Instant::now)));
         wrote
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let flushed = this.stream()?.poll_flush(cx);
-        if this.conn.over.get() == Over::Told && flushed.is_ready() {
-            this.conn.over.set(Over::Out);
+        if this.conn.last_answer.get() == LastAnswer::Pending && flushed.is_ready() {
+            this.conn.last_answer.set(LastAnswer::Written);
             cx.waker().wake_by_ref();
         }
         flushed
--- a/router/src/clients/openai/api.rs
+++ b/router/src/clients/openai/api.rs
@@ -1,6 +1,6 @@
-//! What clients of the OpenAI-style API say and are told, apart from answers.
+//! The OpenAI-style API apart from answers: chat requests, models, keys and errors.
 
-use super::super::{Bad, Held};
+use super::super::{BodyReservation, RequestError};
 use crate::config::openai::{Model, OpenAi};
 use crate::exchange::Call;
 use actix_http::StatusCode;
@@ -11,27 +11,27 @@
 use shedrelay::{ClassId, Key, TenantId};
 use std::time::Instant;
 
-/// A token is so many characters.
-const CHARS_A_TOKEN: usize = 4;
+/// Characters per token, for estimating lengths in tokens.
+const CHARS_PER_TOKEN: usize = 4;
 
-/// An error as the API words it.
+/// An error of the API.
 #[derive(Debug)]
-pub struct Refusal {
+pub struct ApiError {
     /// The HTTP status.
     pub status: StatusCode,
-    /// For people.
+    /// The message for people.
     pub message: String,
     kind: &'static str,
     param: Option<&'static str>,
     code: Option<&'static str>,
-    /// What came was no request of this API at all: its client has to connect anew.
+    /// It was not a request of this API: the connection closes, and the client has to reconnect.
     pub close: bool,
 }
 
-impl Refusal {
+impl ApiError {
     fn invalid(param: Option<&'static str>, message: impl Into<String>) -> Self {
         let kind = "invalid_request_error";
-        Refusal {
+        ApiError {
             status: StatusCode::BAD_REQUEST,
             message: message.into(),
             kind,
@@ -41,9 +41,9 @@
         }
     }
 
-    /// The servers cannot take it now; trying again is harmless.
-    pub fn busy() -> Self {
-        Refusal {
+    /// The servers cannot take the request now; a retry is safe.
+    pub fn overloaded() -> Self {
+        ApiError {
             status: StatusCode::SERVICE_UNAVAILABLE,
             message: "The servers are busy. The request did not run; it may be sent again.".to_owned(),
             kind: "server_error",
@@ -53,9 +53,9 @@
         }
     }
 
-    /// It failed, with no word on its effect.
+    /// The request failed, and may have run.
     pub fn failed() -> Self {
-        Refusal {
+        ApiError {
             status: StatusCode::BAD_GATEWAY,
             message: "The answer failed. The request may have run.".to_owned(),
             kind: "server_error",
@@ -65,48 +65,51 @@
         }
     }
 
-    /// The error object.
+    /// The JSON error object.
     pub fn object(&self) -> Value {
         json!({"error": {"message": self.message, "type": self.kind, "param": self.param, "code": self.code}})
     }
 }
 
-impl From<Bad> for Refusal {
-    fn from(bad: Bad) -> Self {
-        Refusal { status: bad.status(), close: true, ..Refusal::invalid(None, bad.to_string()) }
+impl From<RequestError> for ApiError {
+    fn from(error: RequestError) -> Self {
+        ApiError { status: error.status(), close: true, ..ApiError::invalid(None, error.to_string()) }
     }
 }
 
-/// Whose key this is; none where the file names no keys.
-pub fn tenant(told: &OpenAi, key: Option<&HeaderValue>) -> Result<Option<TenantId>, Refusal> {
-    let key = key.and_then(|value| value.to_str().ok());
-    super::super::holder(&told.keys, key).map_err(|_| Refusal {
+/// The tenant to which an `Authorization` field belongs; none if no keys are configured.
+pub fn tenant(config: &OpenAi, authorization: Option<&HeaderValue>) -> Result<Option<TenantId>, ApiError> {
+    let authorization = authorization.and_then(|value| value.to_str().ok());
+    super::super::tenant_of_key(&config.keys, authorization).map_err(|_| ApiError {
         status: StatusCode::UNAUTHORIZED,
         code: Some("invalid_api_key"),
-        ..Refusal::invalid(None, "The key is missing or not known.")
+        ..ApiError::invalid(None, "The key is missing or not known.")
     })
 }
 
-fn no_model(name: &str) -> Refusal {
-    Refusal {
+fn unknown_model(name: &str) -> ApiError {
+    ApiError {
         status: StatusCode::NOT_FOUND,
         code: Some("model_not_found"),
-        ..Refusal::invalid(Some("model"), format!("The model `{name}` does not exist."))
+        ..ApiError::invalid(Some("model"), format!("The model `{name}` does not exist."))
     }
 }
 
-/// The list of models, or one of them.
-pub fn models(told: &OpenAi, one: Option<&str>) -> Result<Value, Refusal> {
+/// The list of models, or the model with this name.
+pub fn models(config: &OpenAi, name: Option<&str>) -> Result<Value, ApiError> {
     let object =
         |model: &Model| json!({"id": model.name, "object": "model", "created": 0, "owned_by": "fawnstream"});
-    match one {
+    match name {
         None => {
-            let all: Vec<Value> = told.models.iter().map(object).collect();
+            let all: Vec<Value> = config.models.iter().map(object).collect();
             Ok(json!({"object": "list", "data": all}))
         }
-        Some(name) => {
-            told.models.iter().find(|model| model.name == name).map(object).ok_or_else(|| no_model(name))
-        }
+        Some(name) => config
+            .models
+            .iter()
+            .find(|model| model.name == name)
+            .map(object)
+            .ok_or_else(|| unknown_model(name)),
     }
 }
 
@@ -117,42 +120,46 @@
 }
 
 /// A chat request.
-pub struct Chat {
+pub struct ChatRequest {
     /// The model's name.
     pub model: String,
-    /// Events are wanted, not a whole answer.
+    /// The client asks for streamed events rather than one JSON answer.
     pub stream: bool,
-    /// An event with the usage is wanted.
-    pub usage: bool,
-    place: usize,
-    max_out: f64,
-    /// The conversation's start and its first message, as hashes; lengths in tokens.
+    /// The client asks for the usage in the stream.
+    pub include_usage: bool,
+    model_index: usize,
+    max_tokens: f64,
+    /// Hash of the messages up to the first one of the user.
     session: Key,
+    /// Hash of the first message.
     prefix: Key,
+    /// Estimated length of the first message in tokens.
     prefix_len: f64,
+    /// Estimated length of all messages in tokens.
     prompt_len: f64,
+    /// The body for the servers, which always asks for a stream with usage.
     body: Bytes,
 }
 
-/// The class of a request that is wrong, if it names a model.
-pub fn class(told: &OpenAi, body: &[u8]) -> Option<ClassId> {
+/// The class of an invalid request, if it names a known model.
+pub fn class(config: &OpenAi, body: &[u8]) -> Option<ClassId> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let name = body.get("model")?.as_str()?;
-    told.models.iter().find(|model| model.name == name).map(|model| model.class)
+    config.models.iter().find(|model| model.name == name).map(|model| model.class)
 }
 
-impl Chat {
-    /// Reads a request's body.
-    pub fn parse(told: &OpenAi, body: &[u8]) -> Result<Self, Refusal> {
-        let invalid = |param, message: &str| Refusal::invalid(param, message);
+impl ChatRequest {
+    /// Parses a request's body.
+    pub fn parse(config: &OpenAi, body: &[u8]) -> Result<Self, ApiError> {
+        let invalid = |param, message: &str| ApiError::invalid(param, message);
         let mut object: Map<String, Value> = serde_json::from_slice(body)
             .map_err(|error| invalid(None, &format!("The body is not a JSON object: {error}")))?;
         let Some(Value::String(model)) = object.get("model") else {
             return Err(invalid(Some("model"), "`model` must be a string."));
         };
         let model = model.clone();
-        let place = told.models.iter().position(|known| known.name == model);
-        let place = place.ok_or_else(|| no_model(&model))?;
+        let model_index = config.models.iter().position(|known| known.name == model);
+        let model_index = model_index.ok_or_else(|| unknown_model(&model))?;
         let stream = match object.get("stream") {
             None | Some(Value::Null) => false,
             Some(Value::Bool(stream)) => *stream,
@@ -169,12 +176,12 @@
         if object.get("n").is_some_and(|n| !n.is_null() && n.as_u64() != Some(1)) {
             return Err(invalid(Some("n"), "Only one choice is made: `n` must be 1."));
         }
-        let mut max_out = f64::from(told.models[place].max_tokens);
+        let mut max_tokens = f64::from(config.models[model_index].max_tokens);
         for name in ["max_tokens", "max_completion_tokens"] {
             match object.get(name) {
                 None | Some(Value::Null) => {}
                 Some(value) => match value.as_u64().filter(|tokens| (1..=1_000_000).contains(tokens)) {
-                    Some(tokens) => max_out = tokens as f64,
+                    Some(tokens) => max_tokens = tokens as f64,
                     None => return Err(invalid(Some(name), &format!("`{name}` must be a positive number."))),
                 },
             }
@@ -183,19 +190,19 @@
             return Err(invalid(Some("messages"), "`messages` must be an array."));
         };
         let mut start = Vec::new();
-        let (mut chars, mut first, mut open) = (0, None, true);
+        let (mut chars, mut first, mut in_start) = (0, None, true);
         for message in messages {
             let Some(role) = message.get("role").and_then(Value::as_str) else {
                 return Err(invalid(Some("messages"), "Each message must have a `role`."));
             };
-            chars += content(message.get("content")).ok_or_else(|| {
+            chars += content_chars(message.get("content")).ok_or_else(|| {
                 invalid(Some("messages"), "`content` must be text, an array of parts, or null.")
             })?;
-            if open {
+            if in_start {
                 start.extend_from_slice(message.to_string().as_bytes());
                 first.get_or_insert((hash(&start), chars));
-                // A conversation is known by what comes up to its first question.
-                open = role != "user";
+                // The messages up to the first one of the user identify the conversation.
+                in_start = role != "user";
             }
         }
         let Some((prefix, prefix_chars)) = first else {
@@ -203,12 +210,12 @@
         };
         object.insert("stream".to_owned(), json!(true));
         object.insert("stream_options".to_owned(), json!({"include_usage": true}));
-        let tokens = |chars: usize| chars.div_ceil(CHARS_A_TOKEN) as f64;
-        Ok(Chat {
+        let tokens = |chars: usize| chars.div_ceil(CHARS_PER_TOKEN) as f64;
+        Ok(ChatRequest {
             stream,
-            usage: options.include_usage,
-            place,
-            max_out,
+            include_usage: options.include_usage,
+            model_index,
+            max_tokens,
             session: hash(&start),
             prefix,
             prefix_len: tokens(prefix_chars),
@@ -218,31 +225,31 @@
         })
     }
 
-    /// The request as the core sees it.
+    /// The call for the core.
     pub fn call(
         &self,
-        told: &OpenAi,
+        config: &OpenAi,
         tenant: Option<TenantId>,
         label: String,
         arrived: Instant,
-        held: Held,
+        reservation: BodyReservation,
     ) -> Call {
-        let model = &told.models[self.place];
+        let model = &config.models[self.model_index];
         Call {
             label,
             session: Some(self.session),
             prefix: Some(self.prefix),
             prefix_len: self.prefix_len,
             prompt_len: self.prompt_len,
-            max_out: self.max_out,
+            max_out: self.max_tokens,
             class: model.class,
             tenant: tenant.or(model.tenant),
             arrived,
             budget: model.deadline,
             idempotency_key: None,
-            target: super::CHAT.to_owned(),
+            target: super::CHAT_PATH.to_owned(),
             body: self.body.clone(),
-            _held: Some(Box::new(held)),
+            _held: Some(Box::new(reservation)),
         }
     }
 }
@@ -251,19 +258,19 @@
     Key(crate::names::hash_bytes(text))
 }
 
-/// Characters of a message's content; none if it is neither text, parts nor null.
-fn content(content: Option<&Value>) -> Option<usize> {
+/// The number of characters in a message's content; none if it is neither text, an array of parts nor null.
+fn content_chars(content: Option<&Value>) -> Option<usize> {
     let chars = |text: &str| text.chars().count();
     match content {
         None | Some(Value::Null) => Some(0),
         Some(Value::String(text)) => Some(chars(text)),
         Some(Value::Array(parts)) => {
-            let mut all = 0;
+            let mut total = 0;
             for part in parts {
                 let text = part.as_object()?.get("text").and_then(Value::as_str);
-                all += text.map_or(0, chars);
+                total += text.map_or(0, chars);
             }
-            Some(all)
+            Some(total)
         }
         Some(_) => None,
     }
--- a/router/src/clients/openai/render.rs
+++ b/router/src/clients/openai/render.rs
@@ -1,60 +1,61 @@
-//! Answers of the OpenAI-style API, from a server's events.
+//! Renders a server's events as answers of the OpenAI-style API.
 
 use super::super::Render;
-use super::api::Chat;
-use super::{broken_event, object, usage};
+use super::api::ChatRequest;
+use super::{broken_event, parse_object, with_total};
 use crate::sse::{self, Lines};
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use std::fmt::Write;
 
-/// A stream of chunks.
-pub struct Chunks {
+/// Renders an answer as a stream of chunks.
+pub struct ChunkRenderer {
     lines: Lines,
     id: String,
     created: u64,
     model: String,
-    usage: bool,
-    begun: bool,
+    include_usage: bool,
+    /// The first delta, which names the role, has been rendered.
+    role_sent: bool,
 }
 
-impl Chunks {
-    /// Renders the answer to this request.
-    pub fn new(id: String, created: u64, chat: &Chat) -> Self {
-        let (model, usage) = (chat.model.clone(), chat.usage);
-        Chunks { lines: Lines::default(), id, created, model, usage, begun: false }
+impl ChunkRenderer {
+    /// A renderer for the answer to this request.
+    pub fn new(id: String, created: u64, chat: &ChatRequest) -> Self {
+        let (model, include_usage) = (chat.model.clone(), chat.include_usage);
+        ChunkRenderer { lines: Lines::default(), id, created, model, include_usage, role_sent: false }
     }
 
     fn chunk(&mut self, mut object: Map<String, Value>) -> Option<Value> {
-        let told = object.remove("usage").filter(|told| !told.is_null());
+        let usage = object.remove("usage").filter(|usage| !usage.is_null());
         let choices = object.get_mut("choices").and_then(Value::as_array_mut);
         let empty = choices.as_ref().is_none_or(|choices| choices.is_empty());
-        if empty && !(self.usage && told.is_some()) {
+        if empty && !(self.include_usage && usage.is_some()) {
             return None;
         }
         if let Some(delta) = choices
             .and_then(|choices| choices.first_mut())
             .and_then(|choice| choice.get_mut("delta"))
             .and_then(Value::as_object_mut)
-            .filter(|_| !self.begun)
+            .filter(|_| !self.role_sent)
         {
-            // The first delta says who speaks.
+            // The first delta names the role.
             delta.entry("role").or_insert(json!("assistant"));
-            self.begun = true;
+            self.role_sent = true;
         }
         object.insert("id".to_owned(), json!(self.id));
         object.insert("object".to_owned(), json!("chat.completion.chunk"));
         object.insert("created".to_owned(), json!(self.created));
         object.insert("model".to_owned(), json!(self.model));
-        if self.usage {
-            object.insert("usage".to_owned(), told.map_or(Value::Null, usage));
+        if self.include_usage {
+            object.insert("usage".to_owned(), usage.map_or(Value::Null, with_total));
         }
         Some(Value::Object(object))
     }
 }
 
-impl Render for Chunks {
-    fn piece(&mut self, piece: Bytes) -> Bytes {
+impl Render for ChunkRenderer {
+    fn render(&mut self, piece: Bytes) -> Bytes {
         let mut lines = std::mem::take(&mut self.lines);
         let mut out = String::new();
         lines.feed(&piece, |line| {
@@ -62,7 +63,7 @@
             // Writing to a string cannot fail.
             if data == b"[DONE]" {
                 out.push_str("data: [DONE]\n\n");
-            } else if let Some(chunk) = object(data).and_then(|object| self.chunk(object)) {
+            } else if let Some(chunk) = parse_object(data).and_then(|object| self.chunk(object)) {
                 let _ = write!(out, "data: {chunk}\n\n");
             }
         });
@@ -70,57 +71,57 @@
         Bytes::from(out)
     }
 
-    fn broken(&mut self) -> Bytes {
+    fn render_broken(&mut self) -> Bytes {
         Bytes::from(broken_event())
     }
 }
 
-/// A whole answer, gathered from a stream.
+/// Collects a stream into one JSON answer.
 #[derive(Default)]
-pub struct Whole {
+pub struct AnswerCollector {
     lines: Lines,
     message: Map<String, Value>,
-    finish: Value,
+    finish_reason: Value,
     usage: Option<Value>,
 }
 
-impl Whole {
-    /// Takes in a piece of the stream.
-    pub fn piece(&mut self, piece: &[u8]) {
+impl AnswerCollector {
+    /// Adds a piece of the stream.
+    pub fn add(&mut self, piece: &[u8]) {
         let mut lines = std::mem::take(&mut self.lines);
         lines.feed(piece, |line| {
-            if let Some(event) = sse::field(line, "data").and_then(object) {
-                self.event(event);
+            if let Some(event) = sse::field(line, "data").and_then(parse_object) {
+                self.add_event(event);
             }
         });
         self.lines = lines;
     }
 
-    fn event(&mut self, mut event: Map<String, Value>) {
-        if let Some(told) = event.remove("usage").filter(|told| !told.is_null()) {
-            self.usage = Some(usage(told));
+    fn add_event(&mut self, mut event: Map<String, Value>) {
+        if let Some(usage) = event.remove("usage").filter(|usage| !usage.is_null()) {
+            self.usage = Some(with_total(usage));
         }
         let Some(choice) = event.get_mut("choices").and_then(|choices| choices.get_mut(0)) else { return };
         if let Some(Value::Object(delta)) = choice.get_mut("delta").map(Value::take) {
             merge(&mut self.message, delta);
         }
-        if let Some(finish) = choice.get_mut("finish_reason").filter(|finish| !finish.is_null()) {
-            self.finish = finish.take();
+        if let Some(reason) = choice.get_mut("finish_reason").filter(|reason| !reason.is_null()) {
+            self.finish_reason = reason.take();
         }
     }
 
-    /// The answer.
+    /// The answer's JSON object.
     pub fn object(mut self, id: &str, created: u64, model: &str) -> Value {
         self.message.entry("role").or_insert(json!("assistant"));
         self.message.entry("content").or_insert(Value::Null);
         if let Some(Value::Array(calls)) = self.message.get_mut("tool_calls") {
-            // Their places served to put the pieces together.
+            // The index only served to merge the deltas.
             for call in calls.iter_mut().filter_map(Value::as_object_mut) {
                 call.remove("index");
             }
         }
         let choice = json!({
-            "index": 0, "message": self.message, "logprobs": null, "finish_reason": self.finish,
+            "index": 0, "message": self.message, "logprobs": null, "finish_reason": self.finish_reason,
         });
         let mut answer = json!({
             "id": id, "object": "chat.completion", "created": created, "model": model, "choices": [choice],
@@ -132,12 +133,14 @@
     }
 }
 
-/// Adds a delta to a message: texts grow, parts of tool calls join those with their index.
+/// Merges a delta into a message: streamed texts are appended, array items merge with the item of the same index.
 fn merge(message: &mut Map<String, Value>, delta: Map<String, Value>) {
     for (name, value) in delta {
         match (message.get_mut(&name), value) {
             (_, Value::Null) => {}
-            (Some(Value::String(text)), Value::String(more)) if grows(&name) => text.push_str(&more),
+            (Some(Value::String(text)), Value::String(more)) if is_streamed_text(&name) => {
+                text.push_str(&more)
+            }
             (Some(Value::Object(known)), Value::Object(more)) => merge(known, more),
             (Some(Value::Array(known)), Value::Array(more)) => {
                 for part in more {
@@ -156,7 +159,7 @@
     }
 }
 
-/// Texts that come in pieces; others come whole.
-fn grows(name: &str) -> bool {
+/// Whether the text of this member arrives in pieces; that of all others arrives whole.
+fn is_streamed_text(name: &str) -> bool {
     matches!(name, "content" | "refusal" | "arguments" | "reasoning_content")
 }
--- a/router/src/clients/platform.rs
+++ b/router/src/clients/platform.rs
@@ -1,8 +1,9 @@
-//! The platform's front: its protocol's heads and statuses, and nothing else.
+//! The front end of the platform's protocol: parses its header fields and answers with its statuses.
 
 use super::{
-    Answer, Bad, Body, Conn, LARGEST_BODY, Render, Shared, body, check_length, health, idempotency_key, last,
-    note, seconds, submit, untaken,
+    Body, Conn, MAX_BODY_BYTES, Render, RequestError, Shared, StreamedBody, check_content_length,
+    count_unsubmitted, health, idempotency_key, read_body, retry_after_value, set_last_answer, submit,
+    track_request,
 };
 use crate::exchange::{Call, Opening};
 use crate::log;
@@ -17,20 +18,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const CHAT: &str = "/v1/chat/completions";
-const HEALTH: &str = "/healthz";
-/// No client waits longer than this; a budget beyond it is a mistake.
-const LONGEST_BUDGET: f64 = 3_600.0;
-/// No prompt or answer has more tokens than this: a body is no larger, and a token is four characters. Guards the
-/// gate, which would hold up all others until there is room for the impossible.
-const MOST_TOKENS: f64 = (LARGEST_BODY / 4) as f64;
-const LONGEST_ID: usize = 64;
+const CHAT_PATH: &str = "/v1/chat/completions";
+const HEALTH_PATH: &str = "/healthz";
+/// Largest budget of a request, in seconds; no client waits longer.
+const MAX_BUDGET_S: f64 = 3_600.0;
+/// Largest number of tokens of a prompt or an answer: the size limit of a body, at four characters a token. A request
+/// that needs more room than there can be would block the queue for all others.
+const MAX_TOKENS: f64 = (MAX_BODY_BYTES / 4) as f64;
+/// Longest request id, and longest key that is not 16 hex digits.
+const MAX_ID_BYTES: usize = 64;
 
-/// A server's events pass unchanged.
-struct Unchanged;
+/// Passes a server's events on unchanged.
+struct PassThrough;
 
-impl Render for Unchanged {
-    fn piece(&mut self, piece: Bytes) -> Bytes {
+impl Render for PassThrough {
+    fn render(&mut self, piece: Bytes) -> Bytes {
         piece
     }
 }
@@ -38,111 +40,111 @@
 /// Answers one request.
 pub async fn handle(shared: Rc<Shared>, mut request: Request) -> Response<BoxBody> {
     let arrived = Instant::now();
-    let busy = note(&request);
-    if request.path() == HEALTH {
+    let guard = track_request(&request);
+    if request.path() == HEALTH_PATH {
         return health(&shared, &request);
     }
-    let taken = async {
-        if request.path() != CHAT {
-            return Err(Bad::Path);
+    let submitted = async {
+        if request.path() != CHAT_PATH {
+            return Err(RequestError::Path);
         }
         if request.method() != Method::POST {
-            return Err(Bad::Method);
+            return Err(RequestError::Method);
         }
-        check_length(&request)?;
-        // What the head gets wrong is told before the body has come: it may be long, or never come whole.
-        let mut call = call(request.headers(), shared.core.names(), arrived)?;
-        call.target = request.uri().path_and_query().map_or(CHAT, |target| target.as_str()).to_owned();
-        let Body { bytes, held } = body(&shared, &mut request).await?;
+        check_content_length(&request)?;
+        // Errors in the head are reported before the body is read: it may be long, or never arrive whole.
+        let mut call = parse_call(request.headers(), shared.core.names(), arrived)?;
+        call.target = request.uri().path_and_query().map_or(CHAT_PATH, |target| target.as_str()).to_owned();
+        let Body { bytes, reservation } = read_body(&shared, &mut request).await?;
         if serde_json::from_slice::<IgnoredAny>(&bytes).is_err() {
-            return Err(Bad::Field("the body is no JSON".to_owned()));
+            return Err(RequestError::Field("the body is no JSON".to_owned()));
         }
         call.body = bytes;
-        call._held = Some(Box::new(held));
+        call._held = Some(Box::new(reservation));
         submit(&shared, &request, call)
     };
-    let mut end = match taken.await {
+    let mut end = match submitted.await {
         Ok(end) => end,
-        Err(bad) => {
-            log!("request refused code={} reason=\"{bad}\"", bad.status().as_u16());
+        Err(error) => {
+            log!("request refused code={} reason=\"{error}\"", error.status().as_u16());
             let class = request
                 .headers()
                 .get("X-Call-Class")
                 .and_then(|value| std::str::from_utf8(value.as_bytes()).ok());
-            untaken(
+            count_unsubmitted(
                 &shared,
                 &request,
                 class.and_then(|name| class_id(shared.core.names(), name)),
-                bad.status(),
+                error.status(),
             );
-            let text = format!("{bad}\n");
-            // Its client may go on as wrongly: it has to connect anew.
-            last(&request);
-            return Response::build(bad.status()).force_close().body(text).map_into_boxed_body();
+            let text = format!("{error}\n");
+            // The client may go on sending invalid data: it has to reconnect.
+            set_last_answer(&request);
+            return Response::build(error.status()).force_close().body(text).map_into_boxed_body();
         }
     };
     match end.opening().await {
         Opening::Stream => {
             if let Some(conn) = request.conn_data::<Rc<Conn>>().cloned() {
-                end.on_surrender(move |asked| conn.ask(asked));
+                end.on_surrender(move |surrender| conn.ask_to_surrender(surrender));
             }
             Response::build(StatusCode::OK)
                 .insert_header((CONTENT_TYPE, "text/event-stream"))
                 .insert_header((CACHE_CONTROL, "no-cache"))
-                .body(Answer::new(end, Unchanged, busy))
+                .body(StreamedBody::new(end, PassThrough, guard))
                 .map_into_boxed_body()
         }
         Opening::Refused(after) => {
             let mut response = Response::new(StatusCode::SERVICE_UNAVAILABLE);
-            if let Some(after) = after.and_then(seconds) {
+            if let Some(after) = after.and_then(retry_after_value) {
                 response.headers_mut().insert(RETRY_AFTER, after);
             }
             response
         }
         Opening::Failed => Response::new(StatusCode::BAD_GATEWAY),
-        Opening::Unusable => Response::build(Bad::Unusable.status())
+        Opening::Unusable => Response::build(RequestError::Unusable.status())
             .force_close()
-            .body(format!("{}\n", Bad::Unusable))
+            .body(format!("{}\n", RequestError::Unusable))
             .map_into_boxed_body(),
     }
 }
 
-/// The core's view of a request, from its head.
-fn call(head: &HeaderMap, names: &Names, arrived: Instant) -> Result<Call, Bad> {
-    // A field that comes twice may be read in two ways, and is wrong.
+/// Parses a request's head into a call for the core.
+fn parse_call(head: &HeaderMap, names: &Names, arrived: Instant) -> Result<Call, RequestError> {
+    // A field that occurs twice is ambiguous, and so invalid.
     let text = |name: &str| {
         let mut values = head.get_all(name);
-        // Names are the customers' own, and may hold more than ASCII.
+        // Tenants choose their own names, which may contain more than ASCII.
         match (values.next().map(|value| std::str::from_utf8(value.as_bytes())), values.next()) {
             (Some(Ok(text)), None) => Ok(text.trim()),
-            (None, _) => Err(Bad::Field(format!("{name} is missing"))),
-            _ => Err(wrong(name)),
+            (None, _) => Err(RequestError::Field(format!("{name} is missing"))),
+            _ => Err(invalid(name)),
         }
     };
     let label = text("X-Call-Id")?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if label.is_empty() || label.len() > LONGEST_ID || !label.chars().all(plain) {
-        return Err(wrong("X-Call-Id"));
+    let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    if label.is_empty() || label.len() > MAX_ID_BYTES || !label.chars().all(allowed) {
+        return Err(invalid("X-Call-Id"));
     }
     let class = text("X-Call-Class")?;
-    let class = class_id(names, class).ok_or_else(|| wrong("X-Call-Class"))?;
+    let class = class_id(names, class).ok_or_else(|| invalid("X-Call-Class"))?;
     let tenant = if names.tenants.is_empty() {
         None
     } else {
         let name = text("X-Caller")?;
-        Some(names.tenants.iter().position(|known| known == name).ok_or_else(|| wrong("X-Caller"))?)
+        Some(names.tenants.iter().position(|known| known == name).ok_or_else(|| invalid("X-Caller"))?)
     };
-    let budget: f64 = text("X-Budget")?.parse().map_err(|_| wrong("X-Budget"))?;
-    if !(budget > 0.0 && budget <= LONGEST_BUDGET) {
-        return Err(wrong("X-Budget"));
+    let budget: f64 = text("X-Budget")?.parse().map_err(|_| invalid("X-Budget"))?;
+    if !(budget > 0.0 && budget <= MAX_BUDGET_S) {
+        return Err(invalid("X-Budget"));
     }
-    let session = key(text("X-Route-Hash")?).ok_or_else(|| wrong("X-Route-Hash"))?;
+    let session = parse_key(text("X-Route-Hash")?).ok_or_else(|| invalid("X-Route-Hash"))?;
     let (mut prefix, mut lengths) = (None, [None; 3]);
     for part in text("X-Call-Info")?.split(',').map(str::trim).filter(|part| !part.is_empty()) {
-        let (name, value) = part.split_once('=').ok_or_else(|| wrong("X-Call-Info"))?;
-        let place = match name.trim() {
+        let (name, value) = part.split_once('=').ok_or_else(|| invalid("X-Call-Info"))?;
+        let index = match name.trim() {
             "prefix" => {
-                prefix = Some(key(value.trim()).ok_or_else(|| wrong("X-Call-Info"))?);
+                prefix = Some(parse_key(value.trim()).ok_or_else(|| invalid("X-Call-Info"))?);
                 continue;
             }
             "prompt_len" => 0,
@@ -150,13 +152,13 @@
             "max_out" => 2,
             _ => continue,
         };
-        let tokens: f64 = value.trim().parse().map_err(|_| wrong("X-Call-Info"))?;
-        if !(0.0..=MOST_TOKENS).contains(&tokens) || lengths[place].is_some() {
-            return Err(wrong("X-Call-Info"));
+        let tokens: f64 = value.trim().parse().map_err(|_| invalid("X-Call-Info"))?;
+        if !(0.0..=MAX_TOKENS).contains(&tokens) || lengths[index].is_some() {
+            return Err(invalid("X-Call-Info"));
         }
-        lengths[place] = Some(tokens);
+        lengths[index] = Some(tokens);
     }
-    let [Some(prompt_len), prefix_len, Some(max_out)] = lengths else { return Err(wrong("X-Call-Info")) };
+    let [Some(prompt_len), prefix_len, Some(max_out)] = lengths else { return Err(invalid("X-Call-Info")) };
     Ok(Call {
         label: label.to_owned(),
         session: Some(session),
@@ -179,15 +181,15 @@
     names.classes.iter().position(|known| known == name.trim()).map(ClassId)
 }
 
-fn wrong(name: &str) -> Bad {
-    Bad::Field(format!("{name} is wrong"))
+fn invalid(name: &str) -> RequestError {
+    RequestError::Field(format!("{name} is wrong"))
 }
 
-/// A key is 16 hex digits; another plain word is a key too, by its hash.
-fn key(text: &str) -> Option<Key> {
+/// Parses a key of 16 hex digits; any other text of 1 to 64 bytes becomes a key by its hash.
+fn parse_key(text: &str) -> Option<Key> {
     match u64::from_str_radix(text, 16) {
         Ok(key) if text.len() == 16 => Some(Key(key)),
-        _ if text.is_empty() || text.len() > LONGEST_ID => None,
+        _ if text.is_empty() || text.len() > MAX_ID_BYTES => None,
         _ => Some(Key(names::hash(text))),
     }
 }
--- a/router/src/clients/resumed_answer.rs
+++ b/router/src/clients/resumed_answer.rs
@@ -1,7 +1,7 @@
-//! The client's end of a stream that came from another process, or was to go to one: what is left of its answer is
-//! written as chunks, without the server library, whose part of it was the head.
+//! The client's side of an answer that continues on a bare socket: it was handed over by another process, or its own
+//! hand-over failed. The server library wrote the head; the rest is written here as chunks.
 
-use super::conn::{Conn, TAKES_NOTHING};
+use super::conn::{Conn, WRITE_STALL_TIMEOUT};
 use super::listener::linger;
 use super::{Broken, Shared};
 use crate::exchange::ClientEnd;
@@ -13,17 +13,17 @@
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 
-/// How often a client that has sent something behind its request is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often the connection of a client that has sent something behind its request is checked for its close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Writes what is left of an answer, and ends its connection: the client was told that more may come on it, so its
-/// end is in order, with the sending side first.
+/// Writes the rest of an answer and closes its connection. The head announced a connection that stays open, so the
+/// sending side is closed first and what the client still sends is read.
 pub async fn write(shared: Rc<Shared>, mut end: ClientEnd, mut socket: TcpStream) {
     let conn = Conn::new();
-    let _entered = shared.enter(&conn);
-    let _busy = conn.request();
-    let asked = conn.clone();
-    end.on_surrender(move |surrender| asked.ask(surrender));
+    let _registration = shared.register(&conn);
+    let _guard = conn.start_request();
+    let surrendering = conn.clone();
+    end.on_surrender(move |surrender| surrendering.ask_to_surrender(surrender));
     let code = loop {
         tokio::select! {
             biased;
@@ -34,7 +34,7 @@
                     None => Bytes::from_static(b"0\r\n\r\n"),
                 };
                 let last = bytes.len() == 5;
-                match tokio::time::timeout(TAKES_NOTHING, socket.write_all(&bytes)).await {
+                match tokio::time::timeout(WRITE_STALL_TIMEOUT, socket.write_all(&bytes)).await {
                     Err(_) => break "slow-client",
                     Ok(Err(_)) => break "reset",
                     Ok(Ok(())) if last => {
@@ -45,31 +45,31 @@
                     Ok(Ok(())) => {}
                 }
             }
-            () = conn.free.notified() => {
-                if let Some(asked) = conn.surrender.take().filter(|asked| !asked.is_void()) {
-                    asked.begin();
+            () = conn.wake.notified() => {
+                if let Some(surrender) = conn.surrender.take().filter(|surrender| !surrender.is_void()) {
+                    surrender.begin();
                     drop(end);
-                    return asked.give(socket);
+                    return surrender.give(socket);
                 }
             }
-            () = left(&socket) => break "client-closed",
+            () = client_close(&socket) => break "client-closed",
         }
     };
     log!("connection peer=client code={code} carried=true");
 }
 
 fn chunk(piece: &Bytes) -> Bytes {
-    let mut whole = format!("{:X}\r\n", piece.len()).into_bytes();
-    whole.extend_from_slice(piece);
-    whole.extend_from_slice(b"\r\n");
-    Bytes::from(whole)
+    let mut chunk = format!("{:X}\r\n", piece.len()).into_bytes();
+    chunk.extend_from_slice(piece);
+    chunk.extend_from_slice(b"\r\n");
+    Bytes::from(chunk)
 }
 
 /// Waits until the client has closed its connection.
-async fn left(socket: &TcpStream) {
+async fn client_close(socket: &TcpStream) {
     let mut byte = [0];
-    // What it sends is left unread: the connection is about to end.
+    // What the client sends stays unread: the connection closes after this answer.
     while socket.peek(&mut byte).await.is_ok_and(|size| size > 0) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CLOSE_CHECK_INTERVAL).await;
     }
 }
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -1,8 +1,8 @@
-//! The front of long-lived connections: checks an upgrade as RFC 6455 says, asks to be let in, and answers. What passes
-//! afterwards is the relay's. No decision is taken here.
+//! The front end of long-lived connections: checks an upgrade by RFC 6455, asks for admission, and answers. An
+//! upgraded connection goes to the relay. Takes no decisions.
 
-use super::conn::{Conn, Wire};
-use super::{Shared, seconds};
+use super::conn::{ClientStream, Conn};
+use super::{Shared, retry_after_value};
 use crate::config::websocket::{Route, WebSocket};
 use crate::leg::Leg;
 use crate::live::relay::{Relay, open_upstream};
@@ -20,142 +20,151 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Subprotocols that a client may name.
-const MOST_PROTOCOLS: usize = 16;
-/// Fields that go on to servers besides those whose names begin with `x-`.
-const GO_ON: [HeaderName; 4] =
+/// Most subprotocols that a client may name.
+const MAX_PROTOCOLS: usize = 16;
+/// Header fields that are forwarded to servers, besides those whose names begin with `x-`.
+const FORWARDED_FIELDS: [HeaderName; 4] =
     [header::ORIGIN, header::COOKIE, header::USER_AGENT, HeaderName::from_static("last-event-id")];
-/// An answer that refuses is taken in this time.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+/// Time limit for writing the answer to an upgrade.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an upgrade is refused before anybody is asked.
+/// Why an upgrade is refused before it asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
-    /// No such path: 404.
+pub enum UpgradeError {
+    /// The path is unknown: 404.
     #[error("no such path")]
     Path,
-    /// Not GET: 405.
+    /// The method is not GET: 405.
     #[error("wrong method")]
     Method,
-    /// It asks for no upgrade: 426.
+    /// The request asks for no WebSocket upgrade: 426.
     #[error("this address speaks WebSocket")]
     NoUpgrade,
-    /// Another version than 13: 426.
+    /// The version is missing or not 13: 426.
     #[error("WebSocket version 13 is spoken here")]
     Version,
-    /// A key that is none, or a field that cannot be read: 400.
+    /// The request is not HTTP/1.1, or its WebSocket key or another field is invalid: 400.
     #[error("the upgrade cannot be read")]
     Unreadable,
-    /// An origin that may not: 403.
+    /// The origin is not allowed: 403.
     #[error("this origin may not")]
     Origin,
-    /// No key, or one that is not known: 401.
+    /// The API key is missing or unknown: 401.
     #[error("the key is missing or not known")]
     Key,
 }
 
-impl Bad {
-    /// For the log and the figures.
+impl UpgradeError {
+    /// The name in the log and the metrics.
     fn name(self) -> &'static str {
         match self {
-            Bad::Path => "bad-path",
-            Bad::Method => "bad-method",
-            Bad::NoUpgrade => "no-upgrade",
-            Bad::Version => "bad-version",
-            Bad::Unreadable => "bad-upgrade",
-            Bad::Origin => "bad-origin",
-            Bad::Key => "bad-key",
+            UpgradeError::Path => "bad-path",
+            UpgradeError::Method => "bad-method",
+            UpgradeError::NoUpgrade => "no-upgrade",
+            UpgradeError::Version => "bad-version",
+            UpgradeError::Unreadable => "bad-upgrade",
+            UpgradeError::Origin => "bad-origin",
+            UpgradeError::Key => "bad-key",
         }
     }
 
     fn answer(self) -> Response<BoxBody> {
         let mut response = match self {
-            Bad::Path => Response::build(StatusCode::NOT_FOUND),
-            Bad::Method => with(StatusCode::METHOD_NOT_ALLOWED, header::ALLOW, "GET"),
-            Bad::NoUpgrade => with(StatusCode::UPGRADE_REQUIRED, header::UPGRADE, "websocket"),
-            Bad::Version => with(StatusCode::UPGRADE_REQUIRED, header::SEC_WEBSOCKET_VERSION, "13"),
-            Bad::Unreadable => Response::build(StatusCode::BAD_REQUEST),
-            Bad::Origin => Response::build(StatusCode::FORBIDDEN),
-            Bad::Key => with(StatusCode::UNAUTHORIZED, header::WWW_AUTHENTICATE, "Bearer"),
+            UpgradeError::Path => Response::build(StatusCode::NOT_FOUND),
+            UpgradeError::Method => response_with(StatusCode::METHOD_NOT_ALLOWED, header::ALLOW, "GET"),
+            UpgradeError::NoUpgrade => {
+                response_with(StatusCode::UPGRADE_REQUIRED, header::UPGRADE, "websocket")
+            }
+            UpgradeError::Version => {
+                response_with(StatusCode::UPGRADE_REQUIRED, header::SEC_WEBSOCKET_VERSION, "13")
+            }
+            UpgradeError::Unreadable => Response::build(StatusCode::BAD_REQUEST),
+            UpgradeError::Origin => Response::build(StatusCode::FORBIDDEN),
+            UpgradeError::Key => response_with(StatusCode::UNAUTHORIZED, header::WWW_AUTHENTICATE, "Bearer"),
         };
         response.force_close().body(format!("{self}\n")).map_into_boxed_body()
     }
 }
 
-fn with(status: StatusCode, name: HeaderName, value: &'static str) -> ResponseBuilder {
+fn response_with(status: StatusCode, name: HeaderName, value: &'static str) -> ResponseBuilder {
     let mut response = Response::build(status);
     response.insert_header((name, HeaderValue::from_static(value)));
     response
 }
 
-/// What a request that asks for no upgrade gets.
+/// Rejects a request that asks for no upgrade.
 pub fn reject_plain(request: &Request) -> Response<BoxBody> {
     match *request.method() {
-        Method::GET => Bad::NoUpgrade.answer(),
-        _ => Bad::Method.answer(),
+        Method::GET => UpgradeError::NoUpgrade.answer(),
+        _ => UpgradeError::Method.answer(),
     }
 }
 
-/// The only value of a field that may come once.
-fn once<'h>(fields: &'h HeaderMap, name: &HeaderName) -> Result<Option<&'h str>, Bad> {
+/// The value of a field that may occur only once.
+fn single_value<'h>(fields: &'h HeaderMap, name: &HeaderName) -> Result<Option<&'h str>, UpgradeError> {
     let mut values = fields.get_all(name);
     let value = values.next();
     if values.next().is_some() {
-        return Err(Bad::Unreadable);
+        return Err(UpgradeError::Unreadable);
     }
-    value.map(|value| value.to_str().map_err(|_| Bad::Unreadable)).transpose()
+    value.map(|value| value.to_str().map_err(|_| UpgradeError::Unreadable)).transpose()
 }
 
-/// The subprotocols named, each once and each a token.
-fn protocols(fields: &HeaderMap) -> Result<Vec<String>, Bad> {
-    let mut all: Vec<String> = Vec::new();
+/// The subprotocols that the client names. Each must be a token and occur only once.
+fn parse_protocols(fields: &HeaderMap) -> Result<Vec<String>, UpgradeError> {
+    let mut protocols: Vec<String> = Vec::new();
     for value in fields.get_all(header::SEC_WEBSOCKET_PROTOCOL) {
-        for name in value.to_str().map_err(|_| Bad::Unreadable)?.split(',').map(str::trim) {
-            let token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
-            let fits = !name.is_empty() && name.len() <= 128 && name.bytes().all(token);
-            if !fits || all.iter().any(|known| known == name) || all.len() >= MOST_PROTOCOLS {
-                return Err(Bad::Unreadable);
+        for name in value.to_str().map_err(|_| UpgradeError::Unreadable)?.split(',').map(str::trim) {
+            let token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
+            let valid = !name.is_empty() && name.len() <= 128 && name.bytes().all(token_byte);
+            if !valid || protocols.iter().any(|known| known == name) || protocols.len() >= MAX_PROTOCOLS {
+                return Err(UpgradeError::Unreadable);
             }
-            all.push(name.to_owned());
+            protocols.push(name.to_owned());
         }
     }
-    Ok(all)
+    Ok(protocols)
 }
 
-/// Checks an upgrade; gives what its path stands for, whose it is and what servers are asked.
-fn check(told: &WebSocket, request: &Request) -> Result<(Route, Option<TenantId>, Ask), Bad> {
+/// Checks an upgrade; returns the route of its path, its tenant and the upgrade to ask servers for.
+fn check_upgrade(
+    config: &WebSocket,
+    request: &Request,
+) -> Result<(Route, Option<TenantId>, Ask), UpgradeError> {
     let (head, fields) = (request.head(), request.headers());
     if head.version != Version::HTTP_11 {
-        return Err(Bad::Unreadable);
+        return Err(UpgradeError::Unreadable);
     }
     ws::verify_handshake(head).map_err(|error| match error {
-        ws::HandshakeError::GetMethodRequired => Bad::Method,
-        ws::HandshakeError::UnsupportedVersion | ws::HandshakeError::NoVersionHeader => Bad::Version,
-        ws::HandshakeError::NoWebsocketUpgrade | ws::HandshakeError::NoConnectionUpgrade => Bad::NoUpgrade,
-        ws::HandshakeError::BadWebsocketKey => Bad::Unreadable,
+        ws::HandshakeError::GetMethodRequired => UpgradeError::Method,
+        ws::HandshakeError::UnsupportedVersion | ws::HandshakeError::NoVersionHeader => UpgradeError::Version,
+        ws::HandshakeError::NoWebsocketUpgrade | ws::HandshakeError::NoConnectionUpgrade => {
+            UpgradeError::NoUpgrade
+        }
+        ws::HandshakeError::BadWebsocketKey => UpgradeError::Unreadable,
     })?;
-    let route = told.routes.iter().find(|route| route.path == request.path()).ok_or(Bad::Path)?;
-    let origin = once(fields, &header::ORIGIN)?.map(str::to_ascii_lowercase);
-    // A client that names none is no browser: nobody's page speaks for it.
-    if origin.is_some_and(|origin| !told.origins.is_empty() && !told.origins.contains(&origin)) {
-        return Err(Bad::Origin);
+    let route = config.routes.iter().find(|route| route.path == request.path()).ok_or(UpgradeError::Path)?;
+    let origin = single_value(fields, &header::ORIGIN)?.map(str::to_ascii_lowercase);
+    // A client without an origin is not a browser, so no web page acts on its behalf.
+    if origin.is_some_and(|origin| !config.origins.is_empty() && !config.origins.contains(&origin)) {
+        return Err(UpgradeError::Origin);
     }
-    let key = if told.keys.is_empty() { None } else { once(fields, &header::AUTHORIZATION)? };
-    let tenant = super::holder(&told.keys, key).map_err(|_| Bad::Key)?;
-    let goes_on = |name: &HeaderName| GO_ON.contains(name) || name.as_str().starts_with("x-");
-    let on = fields.iter().filter(|(name, _)| goes_on(name));
+    let key = if config.keys.is_empty() { None } else { single_value(fields, &header::AUTHORIZATION)? };
+    let tenant = super::tenant_of_key(&config.keys, key).map_err(|_| UpgradeError::Key)?;
+    let is_forwarded = |name: &HeaderName| FORWARDED_FIELDS.contains(name) || name.as_str().starts_with("x-");
+    let forwarded = fields.iter().filter(|(name, _)| is_forwarded(name));
     let ask = Ask {
         target: request.uri().path_and_query().map_or("/", |target| target.as_str()).to_owned(),
-        protocols: protocols(fields)?,
-        fields: on.map(|(name, value)| (name.clone(), value.clone())).collect(),
+        protocols: parse_protocols(fields)?,
+        fields: forwarded.map(|(name, value)| (name.clone(), value.clone())).collect(),
     };
     Ok((route.clone(), tenant, ask))
 }
 
-type Upgrade = Framed<Wire, h1::Codec>;
+type FramedClient = Framed<ClientStream, h1::Codec>;
 
-/// Writes an answer that refuses.
-async fn refuse(mut wire: Upgrade, answer: Response<BoxBody>, conn: Option<&Rc<Conn>>) {
+/// Writes a refusal. Its body is a text by its status.
+async fn refuse(mut framed: FramedClient, answer: Response<BoxBody>, conn: Option<&Rc<Conn>>) {
     let text = match answer.status() {
         StatusCode::SERVICE_UNAVAILABLE => "come again later\n".to_owned(),
         status => format!("{}\n", status.canonical_reason().unwrap_or_default().to_ascii_lowercase()),
@@ -163,73 +172,79 @@
     let head = answer.drop_body();
     let size = BodySize::Sized(text.len() as u64);
     let body = Some(Bytes::from(text));
-    let wrote = Pin::new(&mut wire).write(h1::Message::Item((head, size))).is_ok()
-        && Pin::new(&mut wire).write(h1::Message::Chunk(body)).is_ok();
-    if wrote {
-        let out = poll_fn(|cx| Pin::new(&mut wire).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
-        let _ = actix_rt::time::timeout(ANSWER_TIME, out).await;
+    let written = Pin::new(&mut framed).write(h1::Message::Item((head, size))).is_ok()
+        && Pin::new(&mut framed).write(h1::Message::Chunk(body)).is_ok();
+    if written {
+        let flush = poll_fn(|cx| Pin::new(&mut framed).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
+        let _ = actix_rt::time::timeout(ANSWER_TIMEOUT, flush).await;
     }
     if let Some(conn) = conn {
-        conn.last();
+        conn.set_last_answer();
     }
 }
 
-/// An answer with a time to come again.
-fn later(status: StatusCode, again: Duration) -> Response<BoxBody> {
+/// A refusal that tells the client when to retry.
+fn retry_later(status: StatusCode, delay: Duration) -> Response<BoxBody> {
     let mut response = Response::build(status);
-    if let Some(value) = seconds(again) {
+    if let Some(value) = retry_after_value(delay) {
         response.insert_header((header::RETRY_AFTER, value));
     }
     response.force_close().finish().map_into_boxed_body()
 }
 
-fn turned(why: Refusal, again: Duration) -> Response<BoxBody> {
-    match why {
-        Refusal::TenantLimit => later(StatusCode::TOO_MANY_REQUESTS, again),
-        // It may have run: nothing says that it may be made again.
+fn refusal_response(reason: Refusal, delay: Duration) -> Response<BoxBody> {
+    match reason {
+        Refusal::TenantLimit => retry_later(StatusCode::TOO_MANY_REQUESTS, delay),
+        // The upgrade may have run, so the client is not told to retry.
         Refusal::UpgradeFailed => {
             Response::build(StatusCode::BAD_GATEWAY).force_close().finish().map_into_boxed_body()
         }
-        _ => later(StatusCode::SERVICE_UNAVAILABLE, again),
+        _ => retry_later(StatusCode::SERVICE_UNAVAILABLE, delay),
     }
 }
 
-/// The client's side, out of the server library's hands.
-fn leg(wire: Upgrade, largest: usize) -> Leg {
-    let parts = wire.into_parts();
-    Leg::new(Box::new(parts.io), parts.read_buf, largest, true)
+/// Takes the client's stream from the server library.
+fn client_leg(framed: FramedClient, max_frame: usize) -> Leg {
+    let parts = framed.into_parts();
+    Leg::new(Box::new(parts.io), parts.read_buf, max_frame, true)
 }
 
-/// One connection, from its upgrade to its end.
-pub async fn serve(live: Rc<Live>, shared: Rc<Shared>, connect: Duration, request: Request, wire: Upgrade) {
+/// Serves one connection from its upgrade to its end.
+pub async fn serve(
+    live: Rc<Live>,
+    shared: Rc<Shared>,
+    connect: Duration,
+    request: Request,
+    framed: FramedClient,
+) {
     let conn = request.conn_data::<Rc<Conn>>().cloned();
-    let _busy = super::note(&request);
+    let _guard = super::track_request(&request);
     if let Some(conn) = &conn {
-        conn.take_due();
+        conn.take_request_due();
         conn.upgraded.set(true);
     }
-    let told = live.told();
-    let (route, tenant, ask) = match check(&told, &request) {
+    let config = live.told();
+    let (route, tenant, ask) = match check_upgrade(&config, &request) {
         Ok(checked) => checked,
-        Err(bad) => {
-            live.refused(bad.name());
-            crate::log!("websocket refused path={:?} reason={}", request.path(), bad.name());
-            return refuse(wire, bad.answer(), conn.as_ref()).await;
+        Err(error) => {
+            live.refused(error.name());
+            crate::log!("websocket refused path={:?} reason={}", request.path(), error.name());
+            return refuse(framed, error.answer(), conn.as_ref()).await;
         }
     };
     let tenant_name = shared.core.tenant_name(tenant).to_owned();
-    let turn_away = |name: &str, why: Refusal| {
-        crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", turned_name(why));
+    let log_refusal = |name: &str, reason: Refusal| {
+        crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", turned_name(reason));
     };
     let mut member = match live.ask(tenant, route.safe) {
         Ok(member) => member,
-        Err((why, again)) => {
-            turn_away("-", why);
-            return refuse(wire, turned(why, again), conn.as_ref()).await;
+        Err((reason, delay)) => {
+            log_refusal("-", reason);
+            return refuse(framed, refusal_response(reason, delay), conn.as_ref()).await;
         }
     };
     let (name, ask) = (member.name(), Rc::new(ask));
-    // The decisions say where to, and end it in time: every wait of theirs is bounded.
+    // The session decisions choose the servers to try, and bound every wait.
     let upstream = loop {
         match member.orders.recv().await {
             Some(Order::Try(server)) => {
@@ -241,45 +256,45 @@
                         if error.unusable {
                             member.turned("unusable");
                             let answer = Response::build(StatusCode::BAD_GATEWAY).force_close().finish();
-                            return refuse(wire, answer.map_into_boxed_body(), conn.as_ref()).await;
+                            return refuse(framed, answer.map_into_boxed_body(), conn.as_ref()).await;
                         }
                         member.tried(error.attempt);
                     }
                 }
             }
-            Some(Order::Turn(why, again)) => {
-                turn_away(&name, why);
-                member.turned(turned_name(why));
-                return refuse(wire, turned(why, again), conn.as_ref()).await;
+            Some(Order::Turn(reason, delay)) => {
+                log_refusal(&name, reason);
+                member.turned(turned_name(reason));
+                return refuse(framed, refusal_response(reason, delay), conn.as_ref()).await;
             }
-            Some(Order::Close(_, again)) => {
-                turn_away(&name, Refusal::Draining);
+            Some(Order::Close(_, delay)) => {
+                log_refusal(&name, Refusal::Draining);
                 member.turned(turned_name(Refusal::Draining));
-                return refuse(wire, turned(Refusal::Draining, again), conn.as_ref()).await;
+                return refuse(framed, refusal_response(Refusal::Draining, delay), conn.as_ref()).await;
             }
             None => break None,
         }
     };
     let Some((upstream, label)) = upstream else { return };
-    let mut wire = wire;
+    let mut framed = framed;
     let mut response = ws::handshake_response(request.head());
     if let Some(protocol) = &upstream.protocol {
         response.insert_header((header::SEC_WEBSOCKET_PROTOCOL, protocol.as_str()));
     }
     let head = response.finish().drop_body();
     let size = BodySize::None;
-    let written = Pin::new(&mut wire).write(h1::Message::Item((head, size))).is_ok();
-    let out = poll_fn(|cx| Pin::new(&mut wire).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
-    let out = written && matches!(actix_rt::time::timeout(ANSWER_TIME, out).await, Ok(Ok(())));
+    let written = Pin::new(&mut framed).write(h1::Message::Item((head, size))).is_ok();
+    let flush = poll_fn(|cx| Pin::new(&mut framed).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
+    let flushed = written && matches!(actix_rt::time::timeout(ANSWER_TIMEOUT, flush).await, Ok(Ok(())));
     member.tried(fawnstream_sessions::AttemptOutcome::Opened);
-    if !out {
+    if !flushed {
         crate::log!("websocket id={name} server={label} code=client-left");
         return member.turned("client-left");
     }
     member.opened();
-    // What the upgrade needed goes now: the connection may stay for hours.
-    let leg = leg(wire, told.limits.frame);
-    drop((request, told));
+    // Frees what only the upgrade needed: the connection may stay open for hours.
+    let leg = client_leg(framed, config.limits.frame);
+    drop((request, config));
     let class = shared.core.class_name(route.class).to_owned();
     Relay::new(member, leg, upstream, ask, connect, label).run(&class, &tenant_name).await;
 }
