--- a/router/tests/plans/mod.rs
+++ b/router/tests/plans/mod.rs
@@ -1,9 +1,9 @@
 //! Plays plans of the fault soak's folder against the built program.
 
-use fawnstream_soak::oracle::{MOST_LATE, Violation, judge};
+use fawnstream_soak::harness::run_plan;
+use fawnstream_soak::oracle::{MAX_LATENESS, Violation, judge};
 use fawnstream_soak::plan::Plan;
-use fawnstream_soak::story::Seen;
-use fawnstream_soak::world::play;
+use fawnstream_soak::trace::Observations;
 use std::path::Path;
 
 /// A play on a machine that was too busy is played again, so often at most.
@@ -15,17 +15,17 @@
 }
 
 fn told(violation: &Violation) -> String {
-    format!("{}: {}\n{}", violation.check, violation.what, violation.story.join("\n"))
+    format!("{}: {}\n{}", violation.check, violation.message, violation.trace.join("\n"))
 }
 
 /// Plays a plan; what was seen, and the rules that were broken.
-async fn played(plan: &Plan) -> (Seen, Vec<String>) {
+async fn played(plan: &Plan) -> (Observations, Vec<String>) {
     let program = Path::new(env!("CARGO_BIN_EXE_fawnstream"));
-    let mut seen = Seen::default();
+    let mut seen = Observations::default();
     for _ in 0..TRIES {
         let folder = tempfile::tempdir().unwrap();
-        seen = play(plan, program, folder.path()).await.unwrap();
-        if seen.lateness <= MOST_LATE {
+        seen = run_plan(plan, program, folder.path()).await.unwrap();
+        if seen.lateness <= MAX_LATENESS {
             break;
         }
     }
@@ -35,7 +35,7 @@
 }
 
 /// Plays a plan and breaks no rule.
-pub async fn keeps_all_rules(name: &str) -> Seen {
+pub async fn keeps_all_rules(name: &str) -> Observations {
     let (seen, broken) = played(&plan(name)).await;
     assert!(broken.is_empty(), "{name}: {} rules broken:\n{}", broken.len(), broken.join("\n"));
     seen
--- a/router/tests/silent_connections.rs
+++ b/router/tests/silent_connections.rs
@@ -3,16 +3,17 @@
 
 mod plans;
 
-use fawnstream_soak::network::FOUND_OUT;
-use fawnstream_soak::story::{Happened, Outcome, Seen};
+use fawnstream_soak::network::SILENCE_DETECTION_TIME;
+use fawnstream_soak::trace::{Observations, Outcome, RequestEvent};
 use plans::keeps_all_rules;
 
 /// Calls that may go to each silent server once it has been found out.
 const MOST_AFTER: usize = 10;
 
 /// Requests that ended in no whole stream though their clients waited for it.
-fn lost(seen: &Seen) -> Vec<String> {
-    let well = |happened: &Happened| matches!(happened, Happened::Ended(Outcome::Served | Outcome::Left));
+fn lost(seen: &Observations) -> Vec<String> {
+    let well =
+        |happened: &RequestEvent| matches!(happened, RequestEvent::Ended(Outcome::Served | Outcome::Left));
     let lost = seen.requests.iter().filter(|(_, story)| !story.iter().any(|(_, happened)| well(happened)));
     lost.map(|(id, story)| format!("{id:x}: {story:?}")).collect()
 }
@@ -20,8 +21,12 @@
 /// A silence of whole servers: no rule is broken, and few calls go there once they are found out.
 async fn finds_silent_servers(name: &str) {
     let seen = keeps_all_rules(name).await;
-    for (server, calls) in &seen.swallowed {
-        let after: Vec<_> = calls.iter().map(|call| call.after).filter(|after| *after > FOUND_OUT).collect();
+    for (server, calls) in &seen.silenced_calls {
+        let after: Vec<_> = calls
+            .iter()
+            .map(|call| call.since_silence)
+            .filter(|after| *after > SILENCE_DETECTION_TIME)
+            .collect();
         assert!(after.len() < MOST_AFTER, "{name}: {} calls to server {server}: {after:?}", after.len());
     }
 }
--- a/router/tests/soak.rs
+++ b/router/tests/soak.rs
@@ -1,9 +1,9 @@
 //! A short fixed set of the fault soak's plans against the built program; `docs/testing.md` has the long run.
 
-use fawnstream_soak::oracle::{MOST_LATE, judge};
+use fawnstream_soak::harness::run_plan;
+use fawnstream_soak::oracle::{MAX_LATENESS, judge};
 use fawnstream_soak::plan::Plan;
-use fawnstream_soak::story::Seen;
-use fawnstream_soak::world::play;
+use fawnstream_soak::trace::Observations;
 use std::path::Path;
 
 /// Seeds whose troubles cover stops, kills, crashes, drains, silences, system calls and disks that fail.
@@ -16,11 +16,11 @@
 async fn violations(seed: u64) -> Vec<String> {
     let plan = Plan { quiet_ms: 500, ..Plan::draw(seed) };
     let program = Path::new(env!("CARGO_BIN_EXE_fawnstream"));
-    let mut seen = Seen::default();
+    let mut seen = Observations::default();
     for _ in 0..TRIES {
         let folder = tempfile::tempdir().unwrap();
-        seen = play(&plan, program, folder.path()).await.unwrap();
-        if seen.lateness <= MOST_LATE {
+        seen = run_plan(&plan, program, folder.path()).await.unwrap();
+        if seen.lateness <= MAX_LATENESS {
             break;
         }
     }
@@ -28,7 +28,7 @@
     let violations = judge(&seen, &plan);
     violations
         .iter()
-        .map(|v| format!("seed {seed}: {}: {}\n{}", v.check, v.what, v.story.join("\n")))
+        .map(|v| format!("seed {seed}: {}: {}\n{}", v.check, v.message, v.trace.join("\n")))
         .collect()
 }
 
--- a/soak/src/fate.rs
+++ b/soak/src/behavior.rs
@@ -14,7 +14,7 @@
 
 /// What becomes of a request that a running server took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallFate {
+pub enum CallBehavior {
     /// It is answered.
     Answered,
     /// Nothing: "workers that hang in the middle of their work".
@@ -32,7 +32,7 @@
 
 /// What becomes of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReleaseFate {
+pub enum ReleaseBehavior {
     /// It is done and answered.
     Answered,
     /// The same, after this time.
@@ -43,43 +43,43 @@
     Reset,
 }
 
-impl CallFate {
+impl CallBehavior {
     /// The fate of one call, where so many of a thousand fail.
-    pub fn draw(chance: &mut impl rand::Rng, per_mille: u32) -> Self {
-        if chance.random_range(0..WHOLE) >= per_mille {
-            return CallFate::Answered;
+    pub fn draw(rng: &mut impl rand::Rng, per_mille: u32) -> Self {
+        if rng.random_range(0..WHOLE) >= per_mille {
+            return CallBehavior::Answered;
         }
-        let late = Duration::from_millis(chance.random_range(LATE_MS));
-        match chance.random_range(0..5) {
-            0 => CallFate::Hangs,
-            1 => CallFate::Reset(late),
-            2 => CallFate::Refused(late),
-            3 => CallFate::Slow(Duration::from_millis(chance.random_range(SLOWER_MS))),
-            _ => CallFate::AnswerLost,
+        let late = Duration::from_millis(rng.random_range(LATE_MS));
+        match rng.random_range(0..5) {
+            0 => CallBehavior::Hangs,
+            1 => CallBehavior::Reset(late),
+            2 => CallBehavior::Refused(late),
+            3 => CallBehavior::Slow(Duration::from_millis(rng.random_range(SLOWER_MS))),
+            _ => CallBehavior::AnswerLost,
         }
     }
 
     /// A call that is reset after some time.
-    pub fn reset_late(chance: &mut impl rand::Rng) -> Self {
-        CallFate::Reset(Duration::from_millis(chance.random_range(LATE_MS)))
+    pub fn reset_late(rng: &mut impl rand::Rng) -> Self {
+        CallBehavior::Reset(Duration::from_millis(rng.random_range(LATE_MS)))
     }
 
     /// A call that is turned away after some time.
-    pub fn refused_late(chance: &mut impl rand::Rng) -> Self {
-        CallFate::Refused(Duration::from_millis(chance.random_range(LATE_MS)))
+    pub fn refused_late(rng: &mut impl rand::Rng) -> Self {
+        CallBehavior::Refused(Duration::from_millis(rng.random_range(LATE_MS)))
     }
 }
 
-impl ReleaseFate {
+impl ReleaseBehavior {
     /// The fate of one release, where so many of a thousand fail.
-    pub fn draw(chance: &mut impl rand::Rng, per_mille: u32) -> Self {
-        if chance.random_range(0..WHOLE) >= per_mille {
-            return ReleaseFate::Answered;
+    pub fn draw(rng: &mut impl rand::Rng, per_mille: u32) -> Self {
+        if rng.random_range(0..WHOLE) >= per_mille {
+            return ReleaseBehavior::Answered;
         }
-        match chance.random_range(0..3) {
-            0 => ReleaseFate::Late(Duration::from_millis(chance.random_range(LATE_RELEASE_MS))),
-            1 => ReleaseFate::Unanswered,
-            _ => ReleaseFate::Reset,
+        match rng.random_range(0..3) {
+            0 => ReleaseBehavior::Late(Duration::from_millis(rng.random_range(LATE_RELEASE_MS))),
+            1 => ReleaseBehavior::Unanswered,
+            _ => ReleaseBehavior::Reset,
         }
     }
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -2,8 +2,8 @@
 
 use crate::class::Class;
 use crate::http::Inbox;
-use crate::story::{Book, Half, Happened, Outcome};
-use crate::terms::{BAD_CLIENT, LOST_AFTER};
+use crate::limits::{LATE_ANSWER_GRACE, PARTIAL_REQUEST_TIMEOUT};
+use crate::trace::{Outcome, PartialRequest, Recorder, RequestEvent};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,11 +17,11 @@
 const LONGEST_STREAM: Duration = Duration::from_secs(12);
 
 /// Connections that rest, by router's address.
-pub type Resting = Arc<Mutex<HashMap<SocketAddr, Vec<(TcpStream, Instant)>>>>;
+pub type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<(TcpStream, Instant)>>>>;
 
 /// The connection that a client takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takes {
+pub enum ConnectionChoice {
     /// A new one.
     New,
     /// One that rests, if there is one; else a new one.
@@ -32,7 +32,7 @@
 
 /// What one client does.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The request.
     pub id: u64,
     /// Its session.
@@ -48,12 +48,12 @@
     /// It leaves after this.
     pub leaves: Option<Duration>,
     /// Which connection it takes.
-    pub takes: Takes,
+    pub takes: ConnectionChoice,
     /// It sends its request in two pieces, so far apart.
     pub pieces: Option<Duration>,
 }
 
-fn text(ask: &Ask) -> String {
+fn text(ask: &ClientRequest) -> String {
     let body = "{\"model\":\"m\"}";
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: {:016x}\r\nX-Call-Class: {}\r\n\
@@ -69,7 +69,7 @@
 }
 
 /// A connection that rests and is still open.
-fn rested(resting: &Resting, at: SocketAddr) -> Option<TcpStream> {
+fn rested(resting: &IdleConnections, at: SocketAddr) -> Option<TcpStream> {
     let mut resting = resting.lock().unwrap_or_else(PoisonError::into_inner);
     let streams = resting.get_mut(&at)?;
     while let Some((stream, since)) = streams.pop() {
@@ -83,12 +83,12 @@
 }
 
 /// One request from its connection to its end.
-pub async fn ask(ask: Ask, book: Arc<Book>, resting: Resting) {
-    let kept = if ask.takes == Takes::New { None } else { rested(&resting, ask.at) };
+pub async fn ask(ask: ClientRequest, recorder: Arc<Recorder>, resting: IdleConnections) {
+    let kept = if ask.takes == ConnectionChoice::New { None } else { rested(&resting, ask.at) };
     let fresh = kept.is_none();
     let stream = match kept {
         Some(stream) => stream,
-        None if ask.takes == Takes::OnlyKept => return,
+        None if ask.takes == ConnectionChoice::OnlyKept => return,
         None => match TcpStream::connect(ask.at).await {
             Ok(stream) => stream,
             // Nobody listens: no router has taken it.
@@ -110,20 +110,20 @@
         return;
     }
     let asked = Instant::now();
-    book.note_at(ask.id, asked, Happened::Asked { router: ask.router, class: ask.class, fresh });
+    recorder.record_at(ask.id, asked, RequestEvent::Asked { router: ask.router, class: ask.class, fresh });
     let leaves = ask.leaves.map(|after| asked + after);
     let mut inbox = Inbox::default();
-    let reading = read(&mut stream, &mut inbox, &ask, &book, asked);
+    let reading = read(&mut stream, &mut inbox, &ask, &recorder, asked);
     let outcome = match leaves {
         Some(at) => tokio::time::timeout_at(at.into(), reading).await.unwrap_or(Outcome::Left),
         None => reading.await,
     };
     if outcome == Outcome::Left {
         drop(stream);
-        book.note(ask.id, Happened::Left);
-        return book.note(ask.id, Happened::Ended(outcome));
+        recorder.record(ask.id, RequestEvent::Left);
+        return recorder.record(ask.id, RequestEvent::Ended(outcome));
     }
-    book.note(ask.id, Happened::Ended(outcome));
+    recorder.record(ask.id, RequestEvent::Ended(outcome));
     let ends_well =
         matches!(outcome, Outcome::Served | Outcome::Answered(_)) && inbox.is_empty() && !inbox.ends;
     if ends_well {
@@ -132,8 +132,14 @@
     }
 }
 
-async fn read(stream: &mut TcpStream, inbox: &mut Inbox, ask: &Ask, book: &Book, asked: Instant) -> Outcome {
-    let until = asked + ask.budget + LOST_AFTER + Duration::from_secs(1);
+async fn read(
+    stream: &mut TcpStream,
+    inbox: &mut Inbox,
+    ask: &ClientRequest,
+    recorder: &Recorder,
+    asked: Instant,
+) -> Outcome {
+    let until = asked + ask.budget + LATE_ANSWER_GRACE + Duration::from_secs(1);
     let (status, chunked, length) = loop {
         match inbox.answer_head() {
             Some(Ok(head)) => break head,
@@ -146,7 +152,7 @@
             Err(_) => return Outcome::Silent,
         }
     };
-    book.note(ask.id, Happened::Head(status));
+    recorder.record(ask.id, RequestEvent::Head(status));
     if !chunked {
         while !inbox.body(length) {
             if !inbox.more(stream).await {
@@ -159,7 +165,7 @@
     loop {
         match inbox.chunk() {
             Some(Ok(chunk)) if chunk.is_empty() => return Outcome::Served,
-            Some(Ok(chunk)) => note_events(&chunk, ask, book),
+            Some(Ok(chunk)) => note_events(&chunk, ask, recorder),
             Some(Err(())) => return Outcome::Broken,
             None => match tokio::time::timeout_at(until.into(), inbox.more(stream)).await {
                 Ok(true) => {}
@@ -170,18 +176,18 @@
 }
 
 /// Events carry their numbers.
-fn note_events(chunk: &[u8], ask: &Ask, book: &Book) {
+fn note_events(chunk: &[u8], ask: &ClientRequest, recorder: &Recorder) {
     let text = String::from_utf8_lossy(chunk);
     for part in text.split("\"content\":\"n").skip(1) {
         let digits: String = part.chars().take_while(char::is_ascii_digit).collect();
         if let Ok(number) = digits.parse() {
-            book.note(ask.id, Happened::Event(number));
+            recorder.record(ask.id, RequestEvent::Event(number));
         }
     }
 }
 
 /// A client that sends half a request and stays.
-pub async fn half(router: usize, at: SocketAddr, ask: Ask, cut: usize, book: Arc<Book>) {
+pub async fn half(router: usize, at: SocketAddr, ask: ClientRequest, cut: usize, recorder: Arc<Recorder>) {
     let Ok(mut stream) = TcpStream::connect(at).await else { return };
     let whole = text(&ask);
     let part = &whole[..whole.len().min(1 + cut % (whole.len() - 1))];
@@ -190,7 +196,7 @@
     }
     let at = Instant::now();
     let mut inbox = Inbox::default();
-    let waited = tokio::time::timeout(BAD_CLIENT * 2, inbox.more(&mut stream)).await;
+    let waited = tokio::time::timeout(PARTIAL_REQUEST_TIMEOUT * 2, inbox.more(&mut stream)).await;
     let waited = waited.ok().map(|_| at.elapsed());
-    book.with(|seen| seen.halves.push(Half { router, at, waited }));
+    recorder.with(|seen| seen.partial_requests.push(PartialRequest { router, at, waited }));
 }
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -1,8 +1,11 @@
 //! What a router is told when it starts.
 
 use crate::class::Class;
+use crate::limits::{
+    DRAIN_GRACE, MAX_SOCKETS, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, QUOTA_FACTOR, SLOW_START_SHARE,
+    SLOW_START_TIME,
+};
 use crate::plan::Plan;
-use crate::terms::{COLD, COLD_SHARE, DRAIN_GRACE, FALL, FALL_MULTIPLE, ROOM, SOCKETS};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +20,7 @@
     json!({
         "name": format!("n{router}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "mgmt": "127.0.0.1:0", "seed": format!("{:016x}", 0x5eed + router),
-        "limits": {"sockets": SOCKETS},
+        "limits": {"sockets": MAX_SOCKETS},
         "known": {"revision": 1, "complete": true, "members": members},
         "settings": {
             "balancers": plan.routers, "self_index": router, "registry_mode": "pushed", "over_share_worth": 0.1,
@@ -26,10 +29,10 @@
                 "release_within": nanos(plan.release_within())},
             "ceilings": {"cancel": true, "probes": false, "max_attempts": 3, "retry_after": true,
                 "max_retry_after": 250_000_000u64, "conn_idle": 6_000_000_000u64, "connect_timeout": 250_000_000u64},
-            "rules": {"cold": nanos(COLD), "cold_share": COLD_SHARE, "fall": nanos(FALL),
-                "fall_multiple": FALL_MULTIPLE, "drain_grace": nanos(DRAIN_GRACE)},
+            "rules": {"cold": nanos(SLOW_START_TIME), "cold_share": SLOW_START_SHARE, "fall": nanos(OVERLOAD_WINDOW),
+                "fall_multiple": OVERLOAD_MULTIPLE, "drain_grace": nanos(DRAIN_GRACE)},
             "telemetry": {"via": "answers", "fields": ["x0"]},
-            "tenants": [{"name": "donaupay", "quota_per_s": plan.requests_per_s * ROOM}],
+            "tenants": [{"name": "donaupay", "quota_per_s": plan.requests_per_s * QUOTA_FACTOR}],
             "classes": [class(Class::Pure, "pure"), class(Class::SideEffect, "side_effect"), class(Class::Keyed, "token")],
         }
     })
--- a/soak/src/agent.rs
+++ b/soak/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's agents, one for each router: a watch that tells the whole list at each change, and an empty line every 2 s.
 
 use crate::http::{Inbox, chunk};
-use crate::story::Book;
+use crate::trace::Recorder;
 use crate::worker::{Role, Worker};
 use serde_json::{Value, json};
 use socket2::SockRef;
@@ -33,7 +33,7 @@
     stale: Mutex<Option<Value>>,
     resets: watch::Sender<u64>,
     workers: Vec<Arc<Worker>>,
-    book: Arc<Book>,
+    recorder: Arc<Recorder>,
 }
 
 /// The entries of a list.
@@ -52,12 +52,12 @@
 
 impl Discovery {
     /// A discovery of these servers, all active.
-    pub fn new(workers: Vec<Arc<Worker>>, book: Arc<Book>) -> Arc<Self> {
+    pub fn new(workers: Vec<Arc<Worker>>, recorder: Arc<Recorder>) -> Arc<Self> {
         let list = List { revision: 1, ..List::default() };
         let (list, silent, resets) =
             (watch::Sender::new(list), watch::Sender::new(false), watch::Sender::new(0));
         let stale = Mutex::default();
-        Arc::new(Discovery { list, silent, stale, resets, workers, book })
+        Arc::new(Discovery { list, silent, stale, resets, workers, recorder })
     }
 
     /// Changes the list.
@@ -146,11 +146,11 @@
 
     /// Notes the starts that a router is told of.
     fn note_starts(&self, router: usize, stamps: &mut [u64]) {
-        self.book.with(|seen| {
+        self.recorder.with(|seen| {
             for (worker, stamp) in self.workers.iter().zip(stamps) {
                 if worker.up_since_ms() != *stamp {
                     *stamp = worker.up_since_ms();
-                    seen.told_start.entry((router, worker.number)).or_default().push(Instant::now());
+                    seen.told_starts.entry((router, worker.number)).or_default().push(Instant::now());
                 }
             }
         });
@@ -160,10 +160,10 @@
     fn note(&self, router: usize, before: &List, now: &List) {
         let takes =
             |list: &List, worker: usize| !list.leaving.contains(&worker) && !list.gone.contains(&worker);
-        self.book.with(|seen| {
+        self.recorder.with(|seen| {
             for worker in 0..self.workers.len() {
                 if before.revision == 0 || takes(before, worker) != takes(now, worker) {
-                    let told = seen.told.entry((router, worker)).or_default();
+                    let told = seen.told_status.entry((router, worker)).or_default();
                     told.push((Instant::now(), takes(now, worker)));
                 }
             }
--- a/soak/src/trouble.rs
+++ b/soak/src/fault.rs
@@ -4,14 +4,14 @@
 
 /// One trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     /// When it begins, after the quiet time.
     pub at_ms: u64,
     /// How long it lasts.
     pub for_ms: u64,
     /// What it is.
     #[serde(flatten)]
-    pub what: What,
+    pub action: FaultAction,
 }
 
 /// A system call that fails at a router.
@@ -45,7 +45,7 @@
 /// What goes wrong. Routers and servers go by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum FaultAction {
     /// SIGTERM, then SIGKILL if it has not ended in time, and a new process.
     RouterStops {
         /// Which.
@@ -186,18 +186,18 @@
     Burst,
 }
 
-impl What {
+impl FaultAction {
     /// The router that it is about.
     pub fn router(&self) -> Option<usize> {
         match *self {
-            What::RouterStops { router }
-            | What::RouterSignals { router }
-            | What::RouterKilled { router }
-            | What::RouterReloads { router }
-            | What::RouterFrozen { router }
-            | What::SystemCalls { router, .. }
-            | What::DiskFails { router }
-            | What::WallClock { router, .. } => Some(router),
+            FaultAction::RouterStops { router }
+            | FaultAction::RouterSignals { router }
+            | FaultAction::RouterKilled { router }
+            | FaultAction::RouterReloads { router }
+            | FaultAction::RouterFrozen { router }
+            | FaultAction::SystemCalls { router, .. }
+            | FaultAction::DiskFails { router }
+            | FaultAction::WallClock { router, .. } => Some(router),
             _ => None,
         }
     }
@@ -205,20 +205,20 @@
     /// The server that it is about.
     pub fn worker(&self) -> Option<usize> {
         match *self {
-            What::WorkerHangs { worker }
-            | What::WorkerSilent { worker }
-            | What::WorkerStopped { worker }
-            | What::ConnectionsSilent { worker, .. }
-            | What::WorkerResets { worker }
-            | What::WorkerCrashes { worker }
-            | What::WorkerDrains { worker }
-            | What::WorkerTakes { worker }
-            | What::WorkerRefusesLate { worker }
-            | What::WorkerResetsLate { worker }
-            | What::WorkerRejects { worker }
-            | What::WorkerSpoils { worker }
-            | What::WorkerSlow { worker }
-            | What::WorkerForgets { worker } => Some(worker),
+            FaultAction::WorkerHangs { worker }
+            | FaultAction::WorkerSilent { worker }
+            | FaultAction::WorkerStopped { worker }
+            | FaultAction::ConnectionsSilent { worker, .. }
+            | FaultAction::WorkerResets { worker }
+            | FaultAction::WorkerCrashes { worker }
+            | FaultAction::WorkerDrains { worker }
+            | FaultAction::WorkerTakes { worker }
+            | FaultAction::WorkerRefusesLate { worker }
+            | FaultAction::WorkerResetsLate { worker }
+            | FaultAction::WorkerRejects { worker }
+            | FaultAction::WorkerSpoils { worker }
+            | FaultAction::WorkerSlow { worker }
+            | FaultAction::WorkerForgets { worker } => Some(worker),
             _ => None,
         }
     }
--- a/soak/src/states.rs
+++ b/soak/src/leases.rs
@@ -2,14 +2,14 @@
 //! cites the sentence of the operators' pages that it follows.
 
 use crate::release_reach::ReleaseReach;
-use crate::story::{Book, Happened};
+use crate::trace::{Recorder, RequestEvent};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// The states of all requests.
-pub struct States {
+pub struct Leases {
     reach: ReleaseReach,
-    book: Arc<Book>,
+    recorder: Arc<Recorder>,
     requests: Mutex<HashMap<u64, Request>>,
 }
 
@@ -19,10 +19,10 @@
     waiting: BTreeSet<u64>,
 }
 
-impl States {
+impl Leases {
     /// Nothing is held.
-    pub fn new(reach: ReleaseReach, book: Arc<Book>) -> Arc<Self> {
-        Arc::new(States { reach, book, requests: Mutex::default() })
+    pub fn new(reach: ReleaseReach, recorder: Arc<Recorder>) -> Arc<Self> {
+        Arc::new(Leases { reach, recorder, requests: Mutex::default() })
     }
 
     /// What a release does here.
@@ -39,14 +39,14 @@
         let mut requests = self.locked();
         requests.entry(request).or_default().readers.insert(reader);
         // Noted before anybody can let go of it: a story in the other order would say that it is held for ever.
-        self.book.note(request, Happened::Held(reader));
+        self.recorder.record(request, RequestEvent::Held(reader));
     }
 
     /// "The request waits in its queue until a slot and memory for the prompt are free": it has arrived at a running
     /// writer, and waits until what this returns is dropped.
-    pub fn wait(self: &Arc<Self>, request: u64, attempt: u64) -> Waiting {
+    pub fn wait(self: &Arc<Self>, request: u64, attempt: u64) -> WaitingAttempt {
         self.locked().entry(request).or_default().waiting.insert(attempt);
-        Waiting { states: self.clone(), request, attempt }
+        WaitingAttempt { states: self.clone(), request, attempt }
     }
 
     /// "The state is fetched, the reader's memory is let go", and "with FIRST all else that is held goes by itself".
@@ -61,7 +61,7 @@
     pub fn release(&self, request: u64) {
         let awaited = self.locked().get(&request).is_some_and(|request| !request.waiting.is_empty());
         if awaited && self.reach == ReleaseReach::Unawaited {
-            self.book.note(request, Happened::ReleasedInVain);
+            self.recorder.record(request, RequestEvent::ReleasedInVain);
             return;
         }
         let readers = self.take(request);
@@ -85,19 +85,19 @@
     }
 
     fn note_let_go(&self, request: u64, readers: &BTreeSet<usize>) {
-        readers.iter().for_each(|reader| self.book.note(request, Happened::LetGo(*reader)));
+        readers.iter().for_each(|reader| self.recorder.record(request, RequestEvent::LetGo(*reader)));
     }
 }
 
 /// An attempt that waits at a writer, until this is dropped: its answer begins, it is turned away, or the writer has
 /// noticed that its connection ended.
-pub struct Waiting {
-    states: Arc<States>,
+pub struct WaitingAttempt {
+    states: Arc<Leases>,
     request: u64,
     attempt: u64,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingAttempt {
     fn drop(&mut self) {
         let mut requests = self.states.locked();
         let Some(request) = requests.get_mut(&self.request) else { return };
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,12 +1,12 @@
 //! `fawnstream-soak`: plays seeds or plans, prints each broken rule with its request's story, and shrinks what fails.
 
 use clap::Parser;
-use fawnstream_soak::network::{FOUND_OUT, Swallowed};
-use fawnstream_soak::oracle::{MOST_LATE, Violation, judge};
+use fawnstream_soak::harness::{HarnessError, run_plan};
+use fawnstream_soak::network::{SILENCE_DETECTION_TIME, SilencedCall};
+use fawnstream_soak::oracle::{MAX_LATENESS, Violation, judge};
 use fawnstream_soak::plan::{Plan, PlanError};
 use fawnstream_soak::shrink::shrink;
-use fawnstream_soak::story::{Happened, Seen};
-use fawnstream_soak::world::{WorldError, play};
+use fawnstream_soak::trace::{Observations, RequestEvent};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -61,7 +61,7 @@
     #[error("plan: {0}")]
     Plan(#[from] PlanError),
     #[error("{0}")]
-    World(#[from] WorldError),
+    Harness(#[from] HarnessError),
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
@@ -87,7 +87,7 @@
 }
 
 impl Releases {
-    fn of(seen: &Seen) -> Self {
+    fn of(seen: &Observations) -> Self {
         let total = |name: &str| total(seen, name);
         Releases {
             needed: total("router_releases{kind=\"needed\"}"),
@@ -106,8 +106,8 @@
 }
 
 /// A figure of all routers at rest together.
-fn total(seen: &Seen, name: &str) -> u64 {
-    seen.rests.iter().filter_map(|rest| rest.metrics.get(name)).sum::<f64>() as u64
+fn total(seen: &Observations, name: &str) -> u64 {
+    seen.idle_routers.iter().filter_map(|rest| rest.metrics.get(name)).sum::<f64>() as u64
 }
 
 /// What silences cost.
@@ -124,11 +124,13 @@
 }
 
 impl Silences {
-    fn of(seen: &Seen) -> Self {
-        let late = |calls: &Vec<Swallowed>| calls.iter().filter(|call| call.after > FOUND_OUT).count();
+    fn of(seen: &Observations) -> Self {
+        let late = |calls: &Vec<SilencedCall>| {
+            calls.iter().filter(|call| call.since_silence > SILENCE_DETECTION_TIME).count()
+        };
         Silences {
-            swallowed: seen.swallowed.values().map(Vec::len).sum(),
-            after_found_out: seen.swallowed.values().map(late).max().unwrap_or(0),
+            swallowed: seen.silenced_calls.values().map(Vec::len).sum(),
+            after_found_out: seen.silenced_calls.values().map(late).max().unwrap_or(0),
             overdue: total(seen, "router_holds_overdue"),
             answered: total(seen, "router_holds_overdue_answered"),
         }
@@ -146,8 +148,8 @@
     std::fs::create_dir_all(&arguments.out)?;
     let folder =
         tempfile::Builder::new().prefix(&format!("seed-{}-", plan.seed)).tempdir_in(&arguments.out)?;
-    let seen = play(&plan, &arguments.program, folder.path()).await?;
-    let too_late = seen.lateness > MOST_LATE;
+    let seen = run_plan(&plan, &arguments.program, folder.path()).await?;
+    let too_late = seen.lateness > MAX_LATENESS;
     let violations = if too_late { Vec::new() } else { judge(&seen, &plan) };
     if keep || !violations.is_empty() {
         let kept = folder.keep();
@@ -157,7 +159,7 @@
     }
     let mut outcomes = BTreeMap::new();
     for (_, happened) in seen.requests.values().flatten() {
-        if let Happened::Ended(outcome) = happened {
+        if let RequestEvent::Ended(outcome) = happened {
             *outcomes.entry(format!("{outcome:?}")).or_default() += 1;
         }
     }
@@ -169,8 +171,8 @@
 fn told(violations: &[Violation], most: usize) -> String {
     let mut text = String::new();
     for violation in violations.iter().take(most) {
-        text += &format!("  {}: {}\n", violation.check, violation.what);
-        for line in &violation.story {
+        text += &format!("  {}: {}\n", violation.check, violation.message);
+        for line in &violation.trace {
             text += &format!("      {line}\n");
         }
     }
@@ -199,8 +201,8 @@
     println!(
         "seed {}: {} troubles of {} still fail: {}",
         fewest.seed,
-        fewest.troubles.len(),
-        played.plan.troubles.len(),
+        fewest.faults.len(),
+        played.plan.faults.len(),
         path.display()
     );
     Ok(path)
@@ -248,7 +250,7 @@
             },
         };
         let Some(played) = played else { continue };
-        if played.lateness > MOST_LATE {
+        if played.lateness > MAX_LATENESS {
             println!("seed {}: the harness was late by {} ms", played.plan.seed, played.lateness.as_millis());
             match alone {
                 true => void += 1,
@@ -278,7 +280,7 @@
         "silences: {} calls swallowed, {} at most at one server after its first {} ms; {} holds released under a call, {} of the calls answered",
         silences.swallowed,
         silences.after_found_out,
-        FOUND_OUT.as_millis(),
+        SILENCE_DETECTION_TIME.as_millis(),
         silences.overdue,
         silences.answered
     );
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -30,7 +30,7 @@
 const WHOLE: u32 = 1_000;
 
 /// A server that fell silent has been found out after this.
-pub const FOUND_OUT: Duration = Duration::from_millis(300);
+pub const SILENCE_DETECTION_TIME: Duration = Duration::from_millis(300);
 
 /// A silence that goes on.
 #[derive(Clone, Copy, Debug)]
@@ -54,11 +54,11 @@
 
 /// A call that was sent on a silent connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Swallowed {
+pub struct SilencedCall {
     /// When its first byte came.
-    pub at: Instant,
+    pub sent_at: Instant,
     /// How long after the silence had begun.
-    pub after: Duration,
+    pub since_silence: Duration,
 }
 
 /// All connections to one server.
@@ -70,7 +70,7 @@
     resets: watch::Sender<u64>,
     silences: AtomicU64,
     connections: AtomicU64,
-    swallowed: Mutex<Vec<Swallowed>>,
+    silenced_calls: Mutex<Vec<SilencedCall>>,
 }
 
 fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -87,7 +87,7 @@
             resets: watch::Sender::new(0),
             silences: AtomicU64::new(0),
             connections: AtomicU64::new(0),
-            swallowed: Mutex::default(),
+            silenced_calls: Mutex::default(),
         })
     }
 
@@ -121,8 +121,8 @@
     }
 
     /// Calls that were sent on silent connections so far.
-    pub fn swallowed(&self) -> Vec<Swallowed> {
-        locked(&self.swallowed).clone()
+    pub fn silenced_calls(&self) -> Vec<SilencedCall> {
+        locked(&self.silenced_calls).clone()
     }
 
     /// A new connection.
@@ -241,8 +241,8 @@
     /// The silence that it is under; none if what is sent passes.
     fn silence(&self, now: Option<Silence>) -> Option<Silence> {
         let silence = now?;
-        let mut chance = Pcg64::seed_from_u64(self.network.seed ^ (silence.number << 32) ^ self.number);
-        (chance.random_range(0..WHOLE) < silence.per_mille).then_some(silence)
+        let mut rng = Pcg64::seed_from_u64(self.network.seed ^ (silence.number << 32) ^ self.number);
+        (rng.random_range(0..WHOLE) < silence.per_mille).then_some(silence)
     }
 
     fn is_silent(&self, now: Option<Silence>) -> bool {
@@ -273,8 +273,8 @@
         }
         let silence = *self.network.silence.borrow();
         if self.is_silent(silence) {
-            let after = silence.map_or(Duration::MAX, |silence| now - silence.since);
-            locked(&self.network.swallowed).push(Swallowed { at: now, after });
+            let since_silence = silence.map_or(Duration::MAX, |silence| now - silence.since);
+            locked(&self.network.silenced_calls).push(SilencedCall { sent_at: now, since_silence });
         }
     }
 
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -3,22 +3,22 @@
 
 mod answers;
 mod attempts;
-mod holds;
+mod leases;
 mod ledgers;
 mod processes;
 mod request;
 mod slow_start;
 mod streams;
 
+use crate::fault::FaultAction;
+use crate::limits::LATE_ANSWER_GRACE;
 use crate::plan::Plan;
-use crate::story::{Done, Seen};
-use crate::terms::LOST_AFTER;
-use crate::trouble::What;
+use crate::trace::{Observations, RouterEvent};
 use request::{Request, lines};
 use std::time::{Duration, Instant};
 
 /// A play in which the harness itself was later than this says nothing of the routers: it is played again, alone.
-pub const MOST_LATE: Duration = Duration::from_millis(250);
+pub const MAX_LATENESS: Duration = Duration::from_millis(250);
 /// A process may be held up for so long, and all rules hold.
 const SHORT_HOLD: Duration = Duration::from_millis(150);
 /// A kill is noted before it is done, and a client's connection may be made until then.
@@ -52,14 +52,14 @@
     /// Which check.
     pub check: &'static str,
     /// What was seen.
-    pub what: String,
-    /// The request's story, or nothing.
-    pub story: Vec<String>,
+    pub message: String,
+    /// The request's trace, or nothing.
+    pub trace: Vec<String>,
 }
 
 /// All checks over one play. `slack` is what the harness's machine was late by.
 pub struct Oracle<'a> {
-    seen: &'a Seen,
+    seen: &'a Observations,
     slack: Duration,
     writers: usize,
     readers: usize,
@@ -77,7 +77,7 @@
 }
 
 /// Judges what was seen.
-pub fn judge(seen: &Seen, plan: &Plan) -> Vec<Violation> {
+pub fn judge(seen: &Observations, plan: &Plan) -> Vec<Violation> {
     let mut oracle = Oracle {
         seen,
         slack: seen.lateness,
@@ -92,7 +92,7 @@
         violations: Vec::new(),
     };
     let mut requests: Vec<Request> =
-        seen.requests.iter().filter_map(|(id, story)| Request::of(*id, story)).collect();
+        seen.requests.iter().filter_map(|(id, trace)| Request::of(*id, trace)).collect();
     requests.sort_by_key(|request| request.asked);
     for request in &requests {
         oracle.request(request);
@@ -107,41 +107,44 @@
 }
 
 fn disk_failed_at_stop(plan: &Plan) -> Vec<usize> {
-    let fails = plan.troubles.iter().filter_map(|trouble| match trouble.what {
-        What::DiskFails { router } => Some(router),
+    let fails = plan.faults.iter().filter_map(|fault| match fault.action {
+        FaultAction::DiskFails { router } => Some(router),
         _ => None,
     });
-    let stops =
-        |router: &usize| plan.troubles.iter().any(|t| t.what == What::RouterStops { router: *router });
+    let stops = |router: &usize| {
+        plan.faults.iter().any(|fault| fault.action == FaultAction::RouterStops { router: *router })
+    };
     fails.filter(stops).collect()
 }
 
 impl Oracle<'_> {
-    fn broken(&mut self, check: &'static str, what: String, request: Option<&Request>) {
-        let story = request.map(|request| lines(request)).unwrap_or_default();
-        let what = request.map_or(what.clone(), |request| {
-            format!("id={:016x} router=n{} {what}", request.id, request.router)
+    fn broken(&mut self, check: &'static str, message: String, request: Option<&Request>) {
+        let trace = request.map(|request| lines(request)).unwrap_or_default();
+        let message = request.map_or(message.clone(), |request| {
+            format!("id={:016x} router=n{} {message}", request.id, request.router)
         });
-        self.violations.push(Violation { check, what, story });
+        self.violations.push(Violation { check, message, trace });
     }
 
     /// What was done to a router.
-    fn done(&self, router: usize) -> &[(Instant, Done)] {
-        self.seen.routers.get(&router).map_or(&[], Vec::as_slice)
+    fn done(&self, router: usize) -> &[(Instant, RouterEvent)] {
+        self.seen.router_events.get(&router).map_or(&[], Vec::as_slice)
     }
 
     /// The router was held up for long between these times, or was about to be. The page promises "a router that is held
     /// up for up to 0.15 s": what the harness stops for longer owes nothing meanwhile.
     fn held_up(&self, router: usize, from: Instant, until: Instant) -> bool {
         self.done(router).iter().any(|(at, done)| match done {
-            Done::Frozen(time) => *time > SHORT_HOLD && *at < until && *at + *time + LOST_AFTER > from,
+            RouterEvent::Frozen(time) => {
+                *time > SHORT_HOLD && *at < until && *at + *time + LATE_ANSWER_GRACE > from
+            }
             _ => false,
         })
     }
 
     /// What short holds add to each limit.
     fn hold_slack(&self, router: usize) -> Duration {
-        let frozen = |done: &Done| matches!(done, Done::Frozen(time) if *time <= SHORT_HOLD);
+        let frozen = |done: &RouterEvent| matches!(done, RouterEvent::Frozen(time) if *time <= SHORT_HOLD);
         if self.done(router).iter().any(|(_, done)| frozen(done)) { SHORT_HOLD } else { Duration::ZERO }
     }
 
@@ -153,15 +156,15 @@
     fn killed(&self, router: usize, asked: Instant, until: Instant) -> bool {
         let done = self.done(router);
         done.iter().enumerate().any(|(place, (at, what))| {
-            let mut life = done[..place].iter().rev().take_while(|(_, done)| *done != Done::Started);
-            let told = life.any(|(_, done)| *done == Done::Told);
-            *what == Done::Killed && *at + KILL_SEEN >= asked && *at <= until + KILL_SEEN && !told
+            let mut life = done[..place].iter().rev().take_while(|(_, done)| *done != RouterEvent::Started);
+            let told = life.any(|(_, done)| *done == RouterEvent::Told);
+            *what == RouterEvent::Killed && *at + KILL_SEEN >= asked && *at <= until + KILL_SEEN && !told
         })
     }
 
-    /// A server was in trouble between these times.
+    /// A server was in fault between these times.
     fn in_trouble(&self, worker: usize, from: Instant, until: Instant) -> bool {
-        let spans = self.seen.worker_troubles.get(&worker).map_or(&[][..], Vec::as_slice);
+        let spans = self.seen.worker_faults.get(&worker).map_or(&[][..], Vec::as_slice);
         spans.iter().any(|(begun, ended)| *begun < until && *ended + Duration::from_millis(100) > from)
     }
 
--- a/soak/src/oracle/answers.rs
+++ b/soak/src/oracle/answers.rs
@@ -2,8 +2,8 @@
 
 use super::Oracle;
 use super::request::{Attempt, Request};
-use crate::story::{Happened, Outcome};
-use crate::terms::LOST_AFTER;
+use crate::limits::LATE_ANSWER_GRACE;
+use crate::trace::{Outcome, RequestEvent};
 use std::time::Instant;
 
 impl Oracle<'_> {
@@ -18,7 +18,8 @@
         match outcome {
             Outcome::Served | Outcome::Answered(_) => {
                 let took = request.head.unwrap_or(at) - request.asked;
-                if took > self.budget + LOST_AFTER + slack && !self.held_up(request.router, request.asked, at)
+                if took > self.budget + LATE_ANSWER_GRACE + slack
+                    && !self.held_up(request.router, request.asked, at)
                 {
                     self.broken(
                         "answer_in_time",
@@ -30,18 +31,19 @@
             Outcome::Broken => {
                 let trouble = |attempt: &Attempt| {
                     let until = attempt.over.map_or(at, |(over, _)| over);
-                    let broke_off =
-                        |(_, happened): &(Instant, Happened)| *happened == Happened::BrokeOff(attempt.worker);
+                    let broke_off = |(_, happened): &(Instant, RequestEvent)| {
+                        *happened == RequestEvent::BrokeOff(attempt.worker)
+                    };
                     self.in_trouble(attempt.worker, attempt.first, until)
-                        || request.story.iter().any(broke_off)
+                        || request.trace.iter().any(broke_off)
                 };
-                let finished = self.seen.written.contains_key(&request.id);
+                let finished = self.seen.written_tokens.contains_key(&request.id);
                 if finished || !request.attempts.iter().any(trouble) {
-                    let what = format!(
+                    let message = format!(
                         "its stream broke off, its server {}",
                         if finished { "had finished it" } else { "was well" }
                     );
-                    self.broken("stream_ended", what, Some(request));
+                    self.broken("stream_ended", message, Some(request));
                 }
             }
             // It came as the connection ended, and nobody has seen it.
--- a/soak/src/oracle/attempts.rs
+++ b/soak/src/oracle/attempts.rs
@@ -3,8 +3,8 @@
 use super::Oracle;
 use super::request::{Attempt, Request};
 use crate::class::Class;
-use crate::story::{Outcome, Ran};
-use crate::terms::{BUDGET_SLACK, DRAIN_GRACE, LEFT_SLACK, SOCKET_SLACK};
+use crate::limits::{BUDGET_SLACK, CLIENT_LEFT_SLACK, DRAIN_GRACE, SOCKET_SLACK};
+use crate::trace::{Outcome, Ran};
 use std::time::Duration;
 
 /// Two attempts of one request may seem to overlap by this: the harness sees an end when it is told of it.
@@ -15,8 +15,8 @@
         for pair in request.attempts.windows(2) {
             let over = pair[0].over.map(|(at, _)| at);
             if over.is_none_or(|over| pair[1].first + END_SEEN + self.slack < over) {
-                let what = "an attempt began while another was out".to_owned();
-                self.broken("one_attempt_at_once", what, Some(request));
+                let message = "an attempt began while another was out".to_owned();
+                self.broken("one_attempt_at_once", message, Some(request));
             }
         }
         let ran: Vec<&Attempt> =
@@ -39,14 +39,14 @@
         for attempt in &request.attempts {
             self.drained(request, attempt);
             if let Some(left) = request.left
-                && attempt.first > left + LEFT_SLACK + self.slack
+                && attempt.first > left + CLIENT_LEFT_SLACK + self.slack
                 && !self.held_up(request.router, left, attempt.first)
             {
-                let what = format!(
+                let message = format!(
                     "an attempt began {} ms after its client had left",
                     (attempt.first - left).as_millis()
                 );
-                self.broken("nothing_after_leaving", what, Some(request));
+                self.broken("nothing_after_leaving", message, Some(request));
             }
         }
     }
@@ -58,8 +58,8 @@
         let read = || ran.iter().filter_map(|attempt| attempt.whole);
         let (Some(first), Some(last)) = (read().min(), read().max()) else { return };
         if last > first + self.dedup_window + self.slack {
-            let what = format!("ran again after {} ms", (last - first).as_millis());
-            self.broken("once_only", what, Some(request));
+            let message = format!("ran again after {} ms", (last - first).as_millis());
+            self.broken("once_only", message, Some(request));
         }
     }
 
@@ -70,7 +70,8 @@
     }
 
     fn drained(&mut self, request: &Request, attempt: &Attempt) {
-        let told = self.seen.told.get(&(request.router, attempt.worker)).map_or(&[][..], Vec::as_slice);
+        let told =
+            self.seen.told_status.get(&(request.router, attempt.worker)).map_or(&[][..], Vec::as_slice);
         let last = told.iter().rev().find(|(at, _)| *at <= attempt.first);
         let Some((at, false)) = last else { return };
         // The news counts from its first telling on.
@@ -81,9 +82,9 @@
         if after > DRAIN_GRACE + SOCKET_SLACK + self.slack
             && !self.held_up(request.router, since, attempt.first)
         {
-            let what =
+            let message =
                 format!("sent to w{} {} ms after the news that it drains", attempt.worker, after.as_millis());
-            self.broken("nothing_to_drained", what, Some(request));
+            self.broken("nothing_to_drained", message, Some(request));
         }
     }
 
@@ -94,8 +95,8 @@
             let left = (request.asked + self.budget).saturating_duration_since(sent);
             let slack = BUDGET_SLACK + self.slack;
             if budget > left + slack && !self.held_up(request.router, request.asked, sent) {
-                let what = format!("told {} ms where {} are left", budget.as_millis(), left.as_millis());
-                self.broken("deadline_passed_on", what, Some(request));
+                let message = format!("told {} ms where {} are left", budget.as_millis(), left.as_millis());
+                self.broken("deadline_passed_on", message, Some(request));
             }
         }
     }
--- a/soak/src/oracle/holds.rs
+++ b/soak/src/oracle/leases.rs
@@ -2,23 +2,23 @@
 
 use super::Oracle;
 use super::request::{Attempt, Request};
-use crate::story::{Done, Happened};
-use crate::terms::{HOLD_SLACK, SOCKET_SLACK};
+use crate::limits::{LEASE_SLACK, SOCKET_SLACK};
+use crate::trace::{RequestEvent, RouterEvent};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What nobody has let go of when a request's story ends was held for this long at least.
+/// What nobody has let go of when a request's trace ends was held for this long at least.
 const REST_SEEN: Duration = Duration::from_secs(4);
 
 impl Oracle<'_> {
     pub(super) fn holds(&mut self, request: &Request) {
         let mut held: HashMap<usize, Instant> = HashMap::new();
-        let end = request.story.last().map_or(request.asked, |(at, _)| *at) + REST_SEEN;
+        let end = request.trace.last().map_or(request.asked, |(at, _)| *at) + REST_SEEN;
         let mut spans = Vec::new();
-        for (at, happened) in request.story {
+        for (at, happened) in request.trace {
             match happened {
-                Happened::Held(worker) => drop(held.insert(*worker, *at)),
-                Happened::LetGo(worker) => {
+                RequestEvent::Held(worker) => drop(held.insert(*worker, *at)),
+                RequestEvent::LetGo(worker) => {
                     if let Some(since) = held.remove(worker) {
                         spans.push((*worker, since, *at));
                     }
@@ -34,7 +34,7 @@
             };
             let long = until - since;
             let limit = self.release_within
-                + HOLD_SLACK
+                + LEASE_SLACK
                 + SOCKET_SLACK
                 + self.slack
                 + self.hold_slack(request.router);
@@ -54,7 +54,7 @@
     /// The router's process was killed between these times. The bench's page: "what a stopped instance left is freed some
     /// seconds later".
     fn ended(&self, router: usize, from: Instant, until: Instant) -> bool {
-        let killed = |done: &Done| matches!(done, Done::Killed);
+        let killed = |done: &RouterEvent| matches!(done, RouterEvent::Killed);
         self.done(router).iter().any(|(at, done)| killed(done) && *at >= from && *at <= until)
     }
 
@@ -62,7 +62,9 @@
     /// instance left is freed some seconds later".
     fn ended_by_itself(&self, router: usize, held_since: Instant, until: Instant) -> bool {
         let had_time = |at: Instant| at >= held_since + self.release_within && at <= until;
-        self.done(router).iter().any(|(at, done)| matches!(done, Done::Ended(Some(0))) && had_time(*at))
+        self.done(router)
+            .iter()
+            .any(|(at, done)| matches!(done, RouterEvent::Ended(Some(0))) && had_time(*at))
     }
 }
 
--- a/soak/src/oracle/ledgers.rs
+++ b/soak/src/oracle/ledgers.rs
@@ -2,7 +2,7 @@
 
 use super::request::{Request, lines};
 use super::{Oracle, Violation};
-use crate::story::Outcome;
+use crate::trace::Outcome;
 use std::collections::HashMap;
 
 impl Oracle<'_> {
@@ -21,7 +21,7 @@
             for request in requests.iter().filter(|request| request.router == *router) {
                 let label = format!("{:016x}", request.id);
                 let found = entries.get(label.as_str()).map_or(&[][..], Vec::as_slice);
-                let truth = self.seen.written.get(&request.id).map(|tokens| *tokens as i64);
+                let truth = self.seen.written_tokens.get(&request.id).map(|tokens| *tokens as i64);
                 let fits = match request.ended {
                     Some((_, Outcome::Served)) => found == [truth],
                     _ => found.len() <= 1,
@@ -30,10 +30,10 @@
                     wrong.push((request, format!("the ledger has {found:?}, its server wrote {truth:?}")));
                 }
             }
-            for (request, what) in wrong {
-                let story = lines(request);
-                let what = format!("id={:016x} router=n{} {what}", request.id, request.router);
-                self.violations.push(Violation { check: "ledger_equals_truth", what, story });
+            for (request, message) in wrong {
+                let trace = lines(request);
+                let message = format!("id={:016x} router=n{} {message}", request.id, request.router);
+                self.violations.push(Violation { check: "ledger_equals_truth", message, trace });
             }
         }
     }
--- a/soak/src/oracle/request.rs
+++ b/soak/src/oracle/request.rs
@@ -1,11 +1,11 @@
-//! A request, put together from its story.
+//! A request, put together from its trace.
 
 use crate::class::Class;
-use crate::story::{Happened, Outcome, Ran, Story};
+use crate::trace::{Outcome, Ran, RequestEvent, Trace};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// An attempt, put together from its story.
+/// An attempt, put together from its trace.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) worker: usize,
@@ -21,10 +21,10 @@
     pub(super) noticed: Option<Instant>,
 }
 
-/// A request, put together from its story.
+/// A request, put together from its trace.
 pub(super) struct Request<'a> {
     pub(super) id: u64,
-    pub(super) story: &'a Story,
+    pub(super) trace: &'a Trace,
     pub(super) asked: Instant,
     pub(super) router: usize,
     pub(super) class: Class,
@@ -37,15 +37,15 @@
 
 impl<'a> Request<'a> {
     /// None if its client never asked.
-    pub(super) fn of(id: u64, story: &'a Story) -> Option<Self> {
-        let asked = story.iter().find_map(|(at, happened)| match happened {
-            Happened::Asked { router, class, fresh } => Some((*at, *router, *class, *fresh)),
+    pub(super) fn of(id: u64, trace: &'a Trace) -> Option<Self> {
+        let asked = trace.iter().find_map(|(at, happened)| match happened {
+            RequestEvent::Asked { router, class, fresh } => Some((*at, *router, *class, *fresh)),
             _ => None,
         });
         let (asked, router, class, fresh) = asked?;
         let mut request = Request {
             id,
-            story,
+            trace,
             asked,
             router,
             class,
@@ -56,12 +56,12 @@
             attempts: Vec::new(),
         };
         let mut attempts = BTreeMap::new();
-        for (at, happened) in story {
+        for (at, happened) in trace {
             match happened {
-                Happened::Left => request.left = Some(*at),
-                Happened::Head(_) => request.head = Some(*at),
-                Happened::Ended(outcome) => request.ended = Some((*at, *outcome)),
-                Happened::First { attempt, worker } => {
+                RequestEvent::Left => request.left = Some(*at),
+                RequestEvent::Head(_) => request.head = Some(*at),
+                RequestEvent::Ended(outcome) => request.ended = Some((*at, *outcome)),
+                RequestEvent::First { attempt, worker } => {
                     let new = Attempt {
                         worker: *worker,
                         first: *at,
@@ -74,18 +74,18 @@
                     };
                     attempts.insert(*attempt, new);
                 }
-                Happened::Whole { attempt, budget, sent, taken, .. } => {
+                RequestEvent::Whole { attempt, budget, sent, taken, .. } => {
                     if let Some(known) = attempts.get_mut(attempt) {
                         (known.whole, known.budget, known.taken) = (Some(*at), *budget, *taken);
                         known.sent = Some(*sent);
                     }
                 }
-                Happened::Over { attempt, ran, .. } => {
+                RequestEvent::Over { attempt, ran, .. } => {
                     if let Some(known) = attempts.get_mut(attempt) {
                         known.over = Some((*at, *ran));
                     }
                 }
-                Happened::Noticed { attempt } => {
+                RequestEvent::Noticed { attempt } => {
                     if let Some(known) = attempts.get_mut(attempt) {
                         known.noticed = Some(*at);
                     }
@@ -99,13 +99,13 @@
     }
 }
 
-/// A request's story, a line each.
+/// A request's trace, a line each.
 pub(super) fn lines(request: &Request) -> Vec<String> {
-    let mut story: Vec<&(Instant, Happened)> = request.story.iter().collect();
-    story.sort_by_key(|(at, _)| *at);
+    let mut trace: Vec<&(Instant, RequestEvent)> = request.trace.iter().collect();
+    trace.sort_by_key(|(at, _)| *at);
     let after = |at: &Instant| match at.checked_duration_since(request.asked) {
         Some(after) => format!("+{:.1}", after.as_secs_f64() * 1e3),
         None => format!("-{:.1}", (request.asked - *at).as_secs_f64() * 1e3),
     };
-    story.iter().map(|(at, happened)| format!("{} ms {happened:?}", after(at))).collect()
+    trace.iter().map(|(at, happened)| format!("{} ms {happened:?}", after(at))).collect()
 }
--- a/soak/src/oracle/slow_start.rs
+++ b/soak/src/oracle/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::request::Request;
 use super::{Oracle, Violation};
-use crate::terms::{COLD, COLD_SHARE, FALL, FALL_MULTIPLE, ROOM};
+use crate::limits::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, QUOTA_FACTOR, SLOW_START_SHARE, SLOW_START_TIME};
 use std::time::Instant;
 
 /// Under this many requests in its window a server in slow start has three roots of room.
@@ -20,42 +20,45 @@
             .collect();
         for (worker, start) in starts {
             let peers = if worker < self.readers { self.readers } else { self.writers };
-            let warm = self.requests_per_s * ROOM / peers as f64;
+            let warm = self.requests_per_s * QUOTA_FACTOR / peers as f64;
             let mut sends: Vec<(Instant, usize)> = requests
                 .iter()
                 .flat_map(|request| request.attempts.iter().map(|attempt| (attempt, request.router)))
                 .filter(|(attempt, _)| {
-                    attempt.worker == worker && attempt.first >= start && attempt.first < start + COLD
+                    attempt.worker == worker
+                        && attempt.first >= start
+                        && attempt.first < start + SLOW_START_TIME
                 })
                 .map(|(attempt, router)| (attempt.first, router))
                 .collect();
             sends.sort();
             for (place, (now, _)) in sends.iter().enumerate() {
                 // What counts is what it can do at this moment.
-                let age = (*now - start).as_secs_f64() / COLD.as_secs_f64();
-                let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * age;
-                let allowed = warm * warmth * FALL_MULTIPLE * FALL.as_secs_f64();
+                let age = (*now - start).as_secs_f64() / SLOW_START_TIME.as_secs_f64();
+                let warmth = SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * age;
+                let allowed = warm * warmth * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.as_secs_f64();
                 let roots = if allowed < FEW { 3.0 } else { 2.0 };
                 let falls = allowed + roots * allowed.sqrt() + roots;
-                let window: Vec<_> = sends[..=place].iter().filter(|(at, _)| *at + FALL > *now).collect();
+                let window: Vec<_> =
+                    sends[..=place].iter().filter(|(at, _)| *at + OVERLOAD_WINDOW > *now).collect();
                 let told = |(at, router): &&&(Instant, usize)| {
-                    let told = self.seen.told_start.get(&(*router, worker));
+                    let told = self.seen.told_starts.get(&(*router, worker));
                     told.is_some_and(|told| told.iter().any(|told| *told >= start && told <= at))
                 };
                 let knew = window.iter().filter(told).count();
                 if window.len() as f64 > falls && knew as f64 > TOLD_PART * window.len() as f64 {
-                    let what = format!(
+                    let message = format!(
                         "server {worker} got {} in 2 s, {} ms after its start; it falls at {falls:.1}",
                         window.len(),
                         (*now - start).as_millis()
                     );
-                    let story = window
+                    let trace = window
                         .iter()
                         .map(|(at, router)| {
                             format!("+{} ms after its start, from n{router}", (*at - start).as_millis())
                         })
                         .collect();
-                    self.violations.push(Violation { check: "slow_start", what, story });
+                    self.violations.push(Violation { check: "slow_start", message, trace });
                     break;
                 }
             }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,8 +1,8 @@
 //! A plan: what happens when. It is drawn from a seed, and a file of it can be read, edited and played again.
 
+use crate::fault::{Fault, FaultAction, SilentRole, SystemCall};
+use crate::limits::{KILL_DELAY, MAX_DEADLINE};
 use crate::release_reach::ReleaseReach;
-use crate::terms::{KILL_SLACK, LONGEST_DEADLINE};
-use crate::trouble::{SilentRole, SystemCall, Trouble, What};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 
 /// Troubles begin in this part of the time under load; what is left is for their end.
 const TROUBLE_PART: f64 = 0.7;
-/// One plan in so many begins its troubles after a long quiet time.
+/// One plan in so many begins its faults after a long quiet time.
 const LONG_QUIET_EVERY: u64 = 8;
 const LONG_QUIET_MS: u64 = 15_000;
 const SHORT_QUIET_MS: u64 = 800;
@@ -20,7 +20,7 @@
 const USUAL_RELEASE_MS: u64 = 1_000;
 /// Servers drop repeats of a keyed request for this time, in milliseconds, where a plan does not say.
 const USUAL_DEDUP_WINDOW_MS: u64 = 1_500;
-/// Silences, times and signals are drawn by themselves: the other troubles of a seed stay what they were.
+/// Silences, times and signals are drawn by themselves: the other faults of a seed stay what they were.
 const SILENCES: u64 = 0x51_1e0c;
 /// The same for calls that fail after they were taken.
 const FAILING_CALLS: u64 = 0x7a_ce17;
@@ -32,7 +32,7 @@
 /// One play.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Where chance comes from: requests, and what is not told here.
+    /// Where rng comes from: requests, and what is not told here.
     pub seed: u64,
     /// Router processes.
     pub routers: usize,
@@ -74,8 +74,8 @@
     #[serde(default)]
     pub release_reach: ReleaseReach,
     /// What goes wrong.
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 fn usual_budget_ms() -> u64 {
@@ -107,21 +107,21 @@
 impl Plan {
     /// The plan of a seed.
     pub fn draw(seed: u64) -> Self {
-        let mut chance = Pcg64::seed_from_u64(seed);
-        let routers = match chance.random_range(0..10) {
-            0 => chance.random_range(25..=40),
-            1..=3 => chance.random_range(14..=24),
-            _ => chance.random_range(10..=13),
+        let mut rng = Pcg64::seed_from_u64(seed);
+        let routers = match rng.random_range(0..10) {
+            0 => rng.random_range(25..=40),
+            1..=3 => rng.random_range(14..=24),
+            _ => rng.random_range(10..=13),
         };
-        let (readers, writers) = (chance.random_range(3..=6), chance.random_range(3..=6));
+        let (readers, writers) = (rng.random_range(3..=6), rng.random_range(3..=6));
         let quiet_ms = if seed.is_multiple_of(LONG_QUIET_EVERY) { LONG_QUIET_MS } else { SHORT_QUIET_MS };
-        let load_ms = chance.random_range(6_000..9_000);
+        let load_ms = rng.random_range(6_000..9_000);
         let mut plan = Plan {
             seed,
             routers,
             readers,
             writers,
-            requests_per_s: chance.random_range(40.0..90.0),
+            requests_per_s: rng.random_range(40.0..90.0),
             quiet_ms,
             load_ms,
             budget_ms: USUAL_BUDGET_MS,
@@ -133,119 +133,121 @@
             releases_fail_per_mille: 0,
             end_noticed_within_ms: 0,
             release_reach: ReleaseReach::default(),
-            troubles: Vec::new(),
+            faults: Vec::new(),
         };
-        let count = chance.random_range(3..=9);
+        let count = rng.random_range(3..=9);
         // Most begin within a second of each other, so that they overlap.
-        let knot = chance.random_range(0.1..TROUBLE_PART) * load_ms as f64;
+        let knot = rng.random_range(0.1..TROUBLE_PART) * load_ms as f64;
         for _ in 0..count {
-            let spread: f64 = if chance.random_range(0..4) == 0 {
-                chance.random_range(-3e3..3e3)
+            let spread: f64 = if rng.random_range(0..4) == 0 {
+                rng.random_range(-3e3..3e3)
             } else {
-                chance.random_range(-600.0..600.0)
+                rng.random_range(-600.0..600.0)
             };
             let at_ms = (knot + spread).clamp(0.0, load_ms as f64 * TROUBLE_PART) as u64;
-            let for_ms = chance.random_range(200..3_000);
-            let trouble = plan.draw_trouble(&mut chance, at_ms, for_ms);
-            plan.troubles.push(trouble);
+            let for_ms = rng.random_range(200..3_000);
+            let fault = plan.draw_fault(&mut rng, at_ms, for_ms);
+            plan.faults.push(fault);
         }
         plan.draw_silences(knot);
         plan.draw_failing_calls(knot);
         plan.draw_stopped_processes();
-        plan.troubles.sort_by_key(|trouble| trouble.at_ms);
+        plan.faults.sort_by_key(|fault| fault.at_ms);
         plan
     }
 
-    /// Times, silences and series of signals; most silences begin at about the time of the other troubles, or right
+    /// Times, silences and series of signals; most silences begin at about the time of the other faults, or right
     /// after the quiet time.
     fn draw_silences(&mut self, knot: f64) {
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ SILENCES);
-        if chance.random_range(0..5) < 2 {
-            self.budget_ms = chance.random_range(1_000..USUAL_BUDGET_MS);
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ SILENCES);
+        if rng.random_range(0..5) < 2 {
+            self.budget_ms = rng.random_range(1_000..USUAL_BUDGET_MS);
         }
-        if chance.random_range(0..2) == 0 {
-            self.release_within_ms = chance.random_range(300..USUAL_RELEASE_MS);
+        if rng.random_range(0..2) == 0 {
+            self.release_within_ms = rng.random_range(300..USUAL_RELEASE_MS);
         }
-        for _ in 0..chance.random_range(0..=3) {
-            let at =
-                if chance.random_range(0..4) == 0 { 0.0 } else { knot + chance.random_range(-600.0..600.0) };
+        for _ in 0..rng.random_range(0..=3) {
+            let at = if rng.random_range(0..4) == 0 { 0.0 } else { knot + rng.random_range(-600.0..600.0) };
             let at_ms = at.clamp(0.0, self.load_ms as f64 * TROUBLE_PART) as u64;
-            let for_ms = chance.random_range(300..3_500);
-            let writer = self.readers + chance.random_range(0..self.writers);
-            let worker = chance.random_range(0..self.readers + self.writers);
-            let what = match chance.random_range(0..10) {
-                0 | 1 => What::WorkerSilent { worker: writer },
-                2 | 3 => What::WorkerStopped { worker },
-                4..=6 => What::ConnectionsSilent { worker, per_mille: chance.random_range(30..400) },
-                7 => What::RoleSilent { role: SilentRole::Writers },
-                8 => What::RoleSilent { role: SilentRole::Readers },
-                _ => What::RouterSignals { router: chance.random_range(0..self.routers) },
+            let for_ms = rng.random_range(300..3_500);
+            let writer = self.readers + rng.random_range(0..self.writers);
+            let worker = rng.random_range(0..self.readers + self.writers);
+            let action = match rng.random_range(0..10) {
+                0 | 1 => FaultAction::WorkerSilent { worker: writer },
+                2 | 3 => FaultAction::WorkerStopped { worker },
+                4..=6 => FaultAction::ConnectionsSilent { worker, per_mille: rng.random_range(30..400) },
+                7 => FaultAction::RoleSilent { role: SilentRole::Writers },
+                8 => FaultAction::RoleSilent { role: SilentRole::Readers },
+                _ => FaultAction::RouterSignals { router: rng.random_range(0..self.routers) },
             };
-            let trouble = Trouble { at_ms, for_ms, what };
-            if !self.silences_all_with(&trouble) {
-                self.troubles.push(trouble);
+            let fault = Fault { at_ms, for_ms, action };
+            if !self.silences_all_with(&fault) {
+                self.faults.push(fault);
             }
         }
     }
 
-    /// With this trouble both roles would be silent at once: a release is made "at any worker", and none could be reached.
-    fn silences_all_with(&self, new: &Trouble) -> bool {
-        let What::RoleSilent { role } = new.what else { return false };
-        let other_role = |what: &What| matches!(what, What::RoleSilent { role: other } if *other != role);
-        let overlaps =
-            |old: &Trouble| old.at_ms < new.at_ms + new.for_ms && new.at_ms < old.at_ms + old.for_ms;
-        self.troubles.iter().any(|old| other_role(&old.what) && overlaps(old))
+    /// With this fault both roles would be silent at once: a release is made "at any worker", and none could be reached.
+    fn silences_all_with(&self, new: &Fault) -> bool {
+        let FaultAction::RoleSilent { role } = new.action else { return false };
+        let other_role = |action: &FaultAction| matches!(action, FaultAction::RoleSilent { role: other } if *other != role);
+        let overlaps = |old: &Fault| old.at_ms < new.at_ms + new.for_ms && new.at_ms < old.at_ms + old.for_ms;
+        self.faults.iter().any(|old| other_role(&old.action) && overlaps(old))
     }
 
     /// Calls that are taken and fail later, and how servers see ends and releases.
     fn draw_failing_calls(&mut self, knot: f64) {
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ FAILING_CALLS);
-        if chance.random_bool(0.5) {
-            self.end_noticed_within_ms = chance.random_range(0..=MOST_NOTICED_LATE_MS);
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ FAILING_CALLS);
+        if rng.random_bool(0.5) {
+            self.end_noticed_within_ms = rng.random_range(0..=MOST_NOTICED_LATE_MS);
         }
-        if chance.random_bool(0.25) {
+        if rng.random_bool(0.25) {
             self.release_reach = ReleaseReach::All;
         }
-        if chance.random_bool(0.25) {
-            self.calls_fail_per_mille = chance.random_range(20..150);
+        if rng.random_bool(0.25) {
+            self.calls_fail_per_mille = rng.random_range(20..150);
         }
-        if chance.random_bool(0.25) {
-            self.releases_fail_per_mille = chance.random_range(50..400);
+        if rng.random_bool(0.25) {
+            self.releases_fail_per_mille = rng.random_range(50..400);
         }
-        for _ in 0..chance.random_range(0..=2) {
+        for _ in 0..rng.random_range(0..=2) {
             let at_ms =
-                (knot + chance.random_range(-600.0..600.0)).clamp(0.0, self.load_ms as f64 * TROUBLE_PART);
-            let for_ms = chance.random_range(500..3_500);
-            let worker = match chance.random_range(0..4) {
-                0 => chance.random_range(0..self.readers),
-                _ => self.readers + chance.random_range(0..self.writers),
+                (knot + rng.random_range(-600.0..600.0)).clamp(0.0, self.load_ms as f64 * TROUBLE_PART);
+            let for_ms = rng.random_range(500..3_500);
+            let worker = match rng.random_range(0..4) {
+                0 => rng.random_range(0..self.readers),
+                _ => self.readers + rng.random_range(0..self.writers),
             };
-            let what = match chance.random_range(0..4) {
-                0 => What::WorkerTakes { worker },
-                1 => What::WorkerRefusesLate { worker },
-                2 => What::WorkerResetsLate { worker },
-                _ => What::RoleTakes { role: SilentRole::Writers },
+            let action = match rng.random_range(0..4) {
+                0 => FaultAction::WorkerTakes { worker },
+                1 => FaultAction::WorkerRefusesLate { worker },
+                2 => FaultAction::WorkerResetsLate { worker },
+                _ => FaultAction::RoleTakes { role: SilentRole::Writers },
             };
-            self.troubles.push(Trouble { at_ms: at_ms as u64, for_ms, what });
+            self.faults.push(Fault { at_ms: at_ms as u64, for_ms, action });
         }
     }
 
     /// One server after the other stands still for about as long as repeats are dropped, while some answers get lost: so
     /// repeats are on their way when their window ends.
     fn draw_stopped_processes(&mut self) {
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ STOPPED_PROCESSES);
-        if chance.random_bool(0.5) {
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ STOPPED_PROCESSES);
+        if rng.random_bool(0.5) {
             return;
         }
-        self.dedup_window_ms = chance.random_range(500..=USUAL_DEDUP_WINDOW_MS);
-        self.answers_lost_per_mille = chance.random_range(100..400);
+        self.dedup_window_ms = rng.random_range(500..=USUAL_DEDUP_WINDOW_MS);
+        self.answers_lost_per_mille = rng.random_range(100..400);
         let last = self.load_ms as f64 * TROUBLE_PART;
-        let mut at = chance.random_range(0.0..last / 2.0);
+        let mut at = rng.random_range(0.0..last / 2.0);
         while at < last {
-            let worker = chance.random_range(0..self.readers + self.writers);
-            let for_ms = chance.random_range(200..=1_200);
-            self.troubles.push(Trouble { at_ms: at as u64, for_ms, what: What::WorkerStopped { worker } });
-            at += chance.random_range(50.0..600.0) + for_ms as f64;
+            let worker = rng.random_range(0..self.readers + self.writers);
+            let for_ms = rng.random_range(200..=1_200);
+            self.faults.push(Fault {
+                at_ms: at as u64,
+                for_ms,
+                action: FaultAction::WorkerStopped { worker },
+            });
+            at += rng.random_range(50.0..600.0) + for_ms as f64;
         }
     }
 
@@ -266,46 +268,45 @@
 
     /// SIGKILL follows SIGTERM after this time, the earliest that the page allows.
     pub fn kill_after(&self) -> Duration {
-        self.budget().min(LONGEST_DEADLINE) + KILL_SLACK
+        self.budget().min(MAX_DEADLINE) + KILL_DELAY
     }
 
-    /// The servers that a trouble is about.
-    pub fn workers_of(&self, what: &What) -> Vec<usize> {
-        match what {
-            What::RoleSilent { role: SilentRole::Readers }
-            | What::RoleTakes { role: SilentRole::Readers } => (0..self.readers).collect(),
-            What::RoleSilent { role: SilentRole::Writers }
-            | What::RoleTakes { role: SilentRole::Writers } => {
+    /// The servers that a fault is about.
+    pub fn workers_of(&self, action: &FaultAction) -> Vec<usize> {
+        match action {
+            FaultAction::RoleSilent { role: SilentRole::Readers }
+            | FaultAction::RoleTakes { role: SilentRole::Readers } => (0..self.readers).collect(),
+            FaultAction::RoleSilent { role: SilentRole::Writers }
+            | FaultAction::RoleTakes { role: SilentRole::Writers } => {
                 (self.readers..self.readers + self.writers).collect()
             }
-            what => what.worker().into_iter().collect(),
+            action => action.worker().into_iter().collect(),
         }
     }
 
-    fn draw_trouble(&self, chance: &mut Pcg64, at_ms: u64, for_ms: u64) -> Trouble {
-        let router = chance.random_range(0..self.routers);
-        let worker = chance.random_range(0..self.readers + self.writers);
+    fn draw_fault(&self, rng: &mut Pcg64, at_ms: u64, for_ms: u64) -> Fault {
+        let router = rng.random_range(0..self.routers);
+        let worker = rng.random_range(0..self.readers + self.writers);
         let mut for_ms = for_ms;
-        let what = match chance.random_range(0..26) {
-            0..=3 => What::RouterStops { router },
-            4 => What::RouterKilled { router },
-            5 => What::RouterReloads { router },
+        let action = match rng.random_range(0..26) {
+            0..=3 => FaultAction::RouterStops { router },
+            4 => FaultAction::RouterKilled { router },
+            5 => FaultAction::RouterReloads { router },
             6 => {
-                for_ms =
-                    if chance.random_range(0..3) == 0 { for_ms / 2 } else { chance.random_range(20..=150) };
-                What::RouterFrozen { router }
+                for_ms = if rng.random_range(0..3) == 0 { for_ms / 2 } else { rng.random_range(20..=150) };
+                FaultAction::RouterFrozen { router }
             }
-            7 | 8 => What::WorkerHangs { worker },
-            9 => What::WorkerSilent { worker },
-            10 => What::WorkerResets { worker },
-            11 | 12 => What::WorkerCrashes { worker },
-            13 | 14 => What::WorkerDrains { worker },
-            15 => What::WorkerRejects { worker },
-            16 => What::WorkerSpoils { worker },
-            17 => What::WorkerSlow { worker },
-            18 => What::WorkerForgets { worker },
-            19 => What::DiscoverySilent,
-            20 => What::DiscoveryResets,
+            7 | 8 => FaultAction::WorkerHangs { worker },
+            9 => FaultAction::WorkerSilent { worker },
+            10 => FaultAction::WorkerResets { worker },
+            11 | 12 => FaultAction::WorkerCrashes { worker },
+            13 | 14 => FaultAction::WorkerDrains { worker },
+            15 => FaultAction::WorkerRejects { worker },
+            16 => FaultAction::WorkerSpoils { worker },
+            17 => FaultAction::WorkerSlow { worker },
+            18 => FaultAction::WorkerForgets { worker },
+            19 => FaultAction::DiscoverySilent,
+            20 => FaultAction::DiscoveryResets,
             21 | 22 => {
                 let calls = [
                     SystemCall::Accept,
@@ -315,23 +316,23 @@
                     SystemCall::Short,
                     SystemCall::Exhausted,
                 ];
-                let call = calls[chance.random_range(0..calls.len())];
-                What::SystemCalls { router, call, per_mille: chance.random_range(50..400) }
+                let call = calls[rng.random_range(0..calls.len())];
+                FaultAction::SystemCalls { router, call, per_mille: rng.random_range(50..400) }
             }
-            23 => match chance.random_range(0..2) {
-                0 => What::DiskFails { router },
+            23 => match rng.random_range(0..2) {
+                0 => FaultAction::DiskFails { router },
                 _ => {
                     let steps = [-3_600_000, -5_000, 5_000, 3_600_000];
-                    What::WallClock { router, step_ms: steps[chance.random_range(0..steps.len())] }
+                    FaultAction::WallClock { router, step_ms: steps[rng.random_range(0..steps.len())] }
                 }
             },
-            24 => match chance.random_range(0..2) {
-                0 => What::ClientsLeave,
-                _ => What::ClientsHalf,
+            24 => match rng.random_range(0..2) {
+                0 => FaultAction::ClientsLeave,
+                _ => FaultAction::ClientsHalf,
             },
-            _ => What::Burst,
+            _ => FaultAction::Burst,
         };
-        Trouble { at_ms, for_ms, what }
+        Fault { at_ms, for_ms, action }
     }
 
     /// Reads a file.
@@ -368,11 +369,11 @@
             return Err(PlanError::Range("end_noticed_within_ms: 1000 at most"));
         }
         let workers = self.readers + self.writers;
-        let known = |trouble: &Trouble| {
-            trouble.what.router().is_none_or(|router| router < self.routers)
-                && trouble.what.worker().is_none_or(|worker| worker < workers)
+        let known = |fault: &Fault| {
+            fault.action.router().is_none_or(|router| router < self.routers)
+                && fault.action.worker().is_none_or(|worker| worker < workers)
         };
-        if !self.troubles.iter().all(known) {
+        if !self.faults.iter().all(known) {
             return Err(PlanError::Range("a trouble names a router or a worker that there is not"));
         }
         Ok(self)
--- a/soak/src/router.rs
+++ b/soak/src/router.rs
@@ -1,8 +1,8 @@
 //! Router processes of the built program: starts, signals, faults of their system calls, and how they are at rest.
 
-use crate::client::Takes;
-use crate::story::{Book, Done, Rest};
-use crate::terms::READY;
+use crate::client::ConnectionChoice;
+use crate::limits::READY_TIMEOUT;
+use crate::trace::{IdleRouter, Recorder, RouterEvent};
 use fawnstream_faults::{FaultControl, FaultKind};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     program: PathBuf,
     folder: PathBuf,
     seed: u64,
-    book: Arc<Book>,
+    recorder: Arc<Recorder>,
     state: Mutex<State>,
     /// Held by who ends a process and starts the next one.
     pub turn: tokio::sync::Mutex<()>,
@@ -68,7 +68,7 @@
         program: &Path,
         folder: &Path,
         seed: u64,
-        book: Arc<Book>,
+        recorder: Arc<Recorder>,
     ) -> std::io::Result<Arc<Self>> {
         let folder = folder.join(format!("n{number}"));
         std::fs::create_dir_all(&folder)?;
@@ -86,7 +86,7 @@
             program,
             folder,
             seed,
-            book,
+            recorder,
             state: Mutex::default(),
             turn: Default::default(),
         }))
@@ -98,10 +98,10 @@
 
     /// Where a client may ask now, and on which connections: once it was told to end, some time later only on those
     /// that are open.
-    pub fn takes(&self) -> Option<(SocketAddr, Takes)> {
+    pub fn takes(&self) -> Option<(SocketAddr, ConnectionChoice)> {
         let state = self.state();
         let still = state.until.is_none_or(|until| Instant::now() < until);
-        let takes = if still { Takes::Kept } else { Takes::OnlyKept };
+        let takes = if still { ConnectionChoice::Kept } else { ConnectionChoice::OnlyKept };
         state.clients.filter(|_| state.ready).map(|at| (at, takes))
     }
 
@@ -131,17 +131,17 @@
         let written = std::fs::write(self.folder.join("config.json"), config);
         written.map_err(|error| StartError { router: self.number, error })?;
         self.spawn().map_err(|error| StartError { router: self.number, error })?;
-        self.book.router(self.number, Done::Started);
-        let until = Instant::now() + READY + READY / 2;
+        self.recorder.record_router(self.number, RouterEvent::Started);
+        let until = Instant::now() + READY_TIMEOUT + READY_TIMEOUT / 2;
         while Instant::now() < until {
             if self.is_ready().await {
                 self.state().ready = true;
-                self.book.router(self.number, Done::Ready);
+                self.recorder.record_router(self.number, RouterEvent::Ready);
                 return Ok(());
             }
             tokio::time::sleep(LOOK).await;
         }
-        self.book.router(self.number, Done::NotReady);
+        self.recorder.record_router(self.number, RouterEvent::NotReady);
         Ok(())
     }
 
@@ -196,7 +196,7 @@
 
     /// Holds it up for so long.
     pub async fn freeze(&self, time: Duration) {
-        self.book.router(self.number, Done::Frozen(time));
+        self.recorder.record_router(self.number, RouterEvent::Frozen(time));
         self.signal(Signal::STOP);
         tokio::time::sleep(time).await;
         self.signal(Signal::CONT);
@@ -210,7 +210,7 @@
             state.child.take()
         };
         if let Some(mut child) = child {
-            self.book.router(self.number, Done::Killed);
+            self.recorder.record_router(self.number, RouterEvent::Killed);
             let _ = child.kill().await;
             self.state().pid = None;
         }
@@ -219,7 +219,7 @@
     /// SIGTERM; SIGKILL if it has not ended after this time. `then`: further signals, so far apart.
     pub async fn stop(&self, kill_after: Duration, then: &[(Duration, Signal)]) {
         self.signal(Signal::TERM);
-        self.book.router(self.number, Done::Told);
+        self.recorder.record_router(self.number, RouterEvent::Told);
         let kill_at = Instant::now() + kill_after;
         let child = {
             let mut state = self.state();
@@ -234,11 +234,14 @@
         }
         match tokio::time::timeout_at(kill_at.into(), child.wait()).await {
             Ok(status) => {
-                self.book.router(self.number, Done::Ended(status.ok().and_then(|status| status.code())));
+                self.recorder.record_router(
+                    self.number,
+                    RouterEvent::Ended(status.ok().and_then(|status| status.code())),
+                );
             }
             Err(_) => {
                 self.state().killed = true;
-                self.book.router(self.number, Done::Killed);
+                self.recorder.record_router(self.number, RouterEvent::Killed);
                 let _ = child.kill().await;
             }
         }
@@ -254,7 +257,7 @@
     }
 
     /// How it is at rest.
-    pub async fn rest(&self) -> Option<Rest> {
+    pub async fn rest(&self) -> Option<IdleRouter> {
         let (pid, operators) = {
             let state = self.state();
             (state.child.as_ref()?.id()?, state.operators?)
@@ -273,7 +276,7 @@
         let memory = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:")?.trim().split(' ').next()?.parse().ok());
-        Some(Rest { router: self.number, descriptors, memory_kb: memory?, metrics })
+        Some(IdleRouter { router: self.number, descriptors, memory_kb: memory?, metrics })
     }
 
     /// So many of a thousand calls fail from now on.
--- a/soak/src/story.rs
+++ b/soak/src/trace.rs
@@ -2,7 +2,7 @@
 //! own monotonic clock.
 
 use crate::class::Class;
-use crate::network::Swallowed;
+use crate::network::SilencedCall;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -35,7 +35,7 @@
 
 /// Something that happened to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happened {
+pub enum RequestEvent {
     /// Its client wrote its last byte.
     Asked {
         /// To this router.
@@ -101,7 +101,7 @@
 
 /// Something that was done to a router.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Done {
+pub enum RouterEvent {
     /// A process was started.
     Started,
     /// It said that it takes clients.
@@ -120,7 +120,7 @@
 
 /// A client that sent half a request, and how long it had to wait for an error or a close; none if it gave up.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Half {
+pub struct PartialRequest {
     /// The router.
     pub router: usize,
     /// When it had sent its half.
@@ -131,7 +131,7 @@
 
 /// Figures of a router's process when all has come to rest.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rest {
+pub struct IdleRouter {
     /// The router.
     pub router: usize,
     /// Open descriptors.
@@ -143,61 +143,61 @@
 }
 
 /// A request's story.
-pub type Story = Vec<(Instant, Happened)>;
+pub type Trace = Vec<(Instant, RequestEvent)>;
 
 /// All that was seen in one play.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Each request's story, by its id.
-    pub requests: HashMap<u64, Story>,
+    pub requests: HashMap<u64, Trace>,
     /// When each router was told that a server drains or left, and when it was told that it takes work again.
-    pub told: HashMap<(usize, usize), Vec<(Instant, bool)>>,
+    pub told_status: HashMap<(usize, usize), Vec<(Instant, bool)>>,
     /// When each router was told of a server's start.
-    pub told_start: HashMap<(usize, usize), Vec<Instant>>,
+    pub told_starts: HashMap<(usize, usize), Vec<Instant>>,
     /// When servers' processes started, by server.
     pub starts: HashMap<usize, Vec<Instant>>,
     /// When servers were in trouble: from, until, by server.
-    pub worker_troubles: HashMap<usize, Vec<(Instant, Instant)>>,
+    pub worker_faults: HashMap<usize, Vec<(Instant, Instant)>>,
     /// Calls that were sent on silent connections, by server.
-    pub swallowed: HashMap<usize, Vec<Swallowed>>,
+    pub silenced_calls: HashMap<usize, Vec<SilencedCall>>,
     /// What was done to each router.
-    pub routers: HashMap<usize, Vec<(Instant, Done)>>,
-    /// Clients that sent halves.
-    pub halves: Vec<Half>,
+    pub router_events: HashMap<usize, Vec<(Instant, RouterEvent)>>,
+    /// Clients that sent partial_requests.
+    pub partial_requests: Vec<PartialRequest>,
     /// Routers at rest.
-    pub rests: Vec<Rest>,
+    pub idle_routers: Vec<IdleRouter>,
     /// Lines of routers' logs that tell of a panic or a violation.
-    pub alarms: Vec<String>,
+    pub log_alarms: Vec<String>,
     /// What each router's ledger holds at the end: label and written tokens.
     pub ledgers: HashMap<usize, Vec<(String, Option<i64>)>>,
     /// Tokens that servers wrote, of whole answers.
-    pub written: HashMap<u64, u64>,
+    pub written_tokens: HashMap<u64, u64>,
     /// How late the harness itself was at the most.
     pub lateness: Duration,
 }
 
 /// Where all that happens is noted.
 #[derive(Debug, Default)]
-pub struct Book(Mutex<Seen>);
+pub struct Recorder(Mutex<Observations>);
 
-impl Book {
+impl Recorder {
     /// Notes something of a request, now.
-    pub fn note(&self, id: u64, happened: Happened) {
-        self.note_at(id, Instant::now(), happened);
+    pub fn record(&self, id: u64, happened: RequestEvent) {
+        self.record_at(id, Instant::now(), happened);
     }
 
     /// Notes something of a request.
-    pub fn note_at(&self, id: u64, at: Instant, happened: Happened) {
+    pub fn record_at(&self, id: u64, at: Instant, happened: RequestEvent) {
         self.with(|seen| seen.requests.entry(id).or_default().push((at, happened)));
     }
 
     /// Notes what was done to a router, now.
-    pub fn router(&self, router: usize, done: Done) {
-        self.with(|seen| seen.routers.entry(router).or_default().push((Instant::now(), done)));
+    pub fn record_router(&self, router: usize, done: RouterEvent) {
+        self.with(|seen| seen.router_events.entry(router).or_default().push((Instant::now(), done)));
     }
 
     /// Does something with all that was seen.
-    pub fn with<T>(&self, done: impl FnOnce(&mut Seen) -> T) -> T {
+    pub fn with<T>(&self, done: impl FnOnce(&mut Observations) -> T) -> T {
         match self.0.lock() {
             Ok(mut seen) => done(&mut seen),
             Err(poisoned) => done(&mut poisoned.into_inner()),
@@ -205,7 +205,7 @@
     }
 
     /// All that was seen; nothing is left here.
-    pub fn take(&self) -> Seen {
+    pub fn take(&self) -> Observations {
         self.with(std::mem::take)
     }
 }
--- a/soak/src/worker.rs
+++ b/soak/src/worker.rs
@@ -3,12 +3,12 @@
 
 mod attempt;
 
-use crate::fate::{CallFate, ReleaseFate};
+use crate::behavior::{CallBehavior, ReleaseBehavior};
 use crate::http::{Inbox, Request, chunk};
+use crate::leases::{Leases, WaitingAttempt};
 use crate::network::{Connection, Network};
 use crate::release_reach::ReleaseReach;
-use crate::states::{States, Waiting};
-use crate::story::{Book, Happened, Ran};
+use crate::trace::{Ran, Recorder, RequestEvent};
 use attempt::Attempt;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -71,7 +71,7 @@
 
 /// How servers treat calls, as a plan says.
 #[derive(Clone, Copy, Debug)]
-pub struct Manner {
+pub struct CallSettings {
     /// Writers' first tokens take so long; none: some milliseconds.
     pub first_token: Option<Duration>,
     /// So many of a thousand calls fail in a way that is drawn.
@@ -99,14 +99,14 @@
     /// Unix time of its start in milliseconds; 0 for long ago.
     up_since_ms: AtomicU64,
     /// Wakes who listens, when its process starts or ends.
-    book: Arc<Book>,
-    states: Arc<States>,
+    recorder: Arc<Recorder>,
+    states: Arc<Leases>,
     attempts: Arc<AtomicU64>,
     releases: AtomicU64,
     /// Written tokens by request, of whole answers.
     written: Mutex<HashMap<u64, u64>>,
     seed: u64,
-    manner: Manner,
+    settings: CallSettings,
 }
 
 fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -126,10 +126,10 @@
         number: usize,
         role: Role,
         seed: u64,
-        book: Arc<Book>,
-        states: Arc<States>,
+        recorder: Arc<Recorder>,
+        states: Arc<Leases>,
         attempts: Arc<AtomicU64>,
-        manner: Manner,
+        settings: CallSettings,
     ) -> std::io::Result<Arc<Self>> {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
@@ -140,13 +140,13 @@
             network: Network::new(seed ^ number as u64),
             mode: watch::Sender::new(Mode::Well),
             up_since_ms: AtomicU64::new(0),
-            book,
+            recorder,
             states,
             attempts,
             releases: AtomicU64::new(0),
             written: Mutex::default(),
             seed,
-            manner,
+            settings,
         });
         tokio::spawn(worker.clone().live(listener));
         Ok(worker)
@@ -177,7 +177,7 @@
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             self.up_since_ms.store(now.as_millis() as u64, Ordering::Relaxed);
             let number = self.number;
-            self.book.with(|seen| seen.starts.entry(number).or_default().push(Instant::now()));
+            self.recorder.with(|seen| seen.starts.entry(number).or_default().push(Instant::now()));
         }
     }
 
@@ -265,10 +265,10 @@
             return self.release(id, connection, reads, writes, inbox).await;
         }
         let attempt = Attempt::begin(self, connection, id, &request);
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ id ^ attempt.number << 32);
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ id ^ attempt.number << 32);
         let waits = self.role == Role::Writes && attempt.taken;
         let waiting = waits.then(|| self.states.wait(id, attempt.number));
-        let noticed = self.manner.end_noticed_within.mul_f64(chance.random_range(0.0..1.0));
+        let noticed = self.settings.end_noticed_within.mul_f64(rng.random_range(0.0..1.0));
         let gone = async {
             // One request at a time: whatever comes now is the end of the connection.
             while inbox.more(reads).await {}
@@ -278,7 +278,7 @@
         tokio::select! {
             biased;
             () = gone => false,
-            on = self.answer(&attempt, waiting, id, &mut chance, writes) => on,
+            on = self.answer(&attempt, waiting, id, &mut rng, writes) => on,
         }
     }
 
@@ -292,20 +292,20 @@
         inbox: &mut Inbox,
     ) -> bool {
         let number = self.releases.fetch_add(1, Ordering::Relaxed);
-        let mut chance = Pcg64::seed_from_u64(self.seed ^ id ^ number << 32);
-        match ReleaseFate::draw(&mut chance, self.manner.releases_fail_per_mille) {
-            ReleaseFate::Answered => self.states.release(id),
-            ReleaseFate::Late(time) => {
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ id ^ number << 32);
+        match ReleaseBehavior::draw(&mut rng, self.settings.releases_fail_per_mille) {
+            ReleaseBehavior::Answered => self.states.release(id),
+            ReleaseBehavior::Late(time) => {
                 tokio::time::sleep(time).await;
                 self.network.process_runs().await;
                 self.states.release(id);
             }
-            ReleaseFate::Unanswered => {
+            ReleaseBehavior::Unanswered => {
                 self.states.release(id);
                 while inbox.more(reads).await {}
                 return false;
             }
-            ReleaseFate::Reset => {
+            ReleaseBehavior::Reset => {
                 connection.reset();
                 return false;
             }
@@ -314,12 +314,12 @@
     }
 
     /// What becomes of one call.
-    fn fate(&self, mode: Mode, chance: &mut Pcg64) -> CallFate {
+    fn behavior(&self, mode: Mode, rng: &mut Pcg64) -> CallBehavior {
         match mode {
-            Mode::Takes => CallFate::Hangs,
-            Mode::RefusesLate => CallFate::refused_late(chance),
-            Mode::ResetsLate => CallFate::reset_late(chance),
-            _ => CallFate::draw(chance, self.manner.calls_fail_per_mille),
+            Mode::Takes => CallBehavior::Hangs,
+            Mode::RefusesLate => CallBehavior::refused_late(rng),
+            Mode::ResetsLate => CallBehavior::reset_late(rng),
+            _ => CallBehavior::draw(rng, self.settings.calls_fail_per_mille),
         }
     }
 
@@ -327,9 +327,9 @@
     async fn answer(
         &self,
         attempt: &Attempt<'_>,
-        waiting: Option<Waiting>,
+        waiting: Option<WaitingAttempt>,
         id: u64,
-        chance: &mut Pcg64,
+        rng: &mut Pcg64,
         writes: &mut Writes,
     ) -> bool {
         let mode = *self.mode.borrow();
@@ -340,17 +340,17 @@
             drop(waiting);
             return attempt.turned_away(writes).await;
         }
-        let fate = self.fate(mode, chance);
-        match fate {
-            CallFate::Answered | CallFate::AnswerLost => {}
-            CallFate::Hangs => return std::future::pending().await,
-            CallFate::Slow(time) => tokio::time::sleep(time).await,
-            CallFate::Refused(after) => {
+        let behavior = self.behavior(mode, rng);
+        match behavior {
+            CallBehavior::Answered | CallBehavior::AnswerLost => {}
+            CallBehavior::Hangs => return std::future::pending().await,
+            CallBehavior::Slow(time) => tokio::time::sleep(time).await,
+            CallBehavior::Refused(after) => {
                 tokio::time::sleep(after).await;
                 drop(waiting);
                 return attempt.turned_away(writes).await;
             }
-            CallFate::Reset(after) => {
+            CallBehavior::Reset(after) => {
                 tokio::time::sleep(after).await;
                 self.network.process_runs().await;
                 drop(waiting);
@@ -359,8 +359,8 @@
             }
         }
         match self.role {
-            Role::Reads => self.read(attempt, id, chance, (mode, fate), writes).await,
-            Role::Writes => self.write(attempt, waiting, id, chance, (mode, fate), writes).await,
+            Role::Reads => self.read(attempt, id, rng, (mode, behavior), writes).await,
+            Role::Writes => self.write(attempt, waiting, id, rng, (mode, behavior), writes).await,
         }
     }
 
@@ -368,20 +368,20 @@
     async fn write(
         &self,
         attempt: &Attempt<'_>,
-        waiting: Option<Waiting>,
+        waiting: Option<WaitingAttempt>,
         id: u64,
-        chance: &mut Pcg64,
-        (mode, fate): (Mode, CallFate),
+        rng: &mut Pcg64,
+        (mode, behavior): (Mode, CallBehavior),
         writes: &mut Writes,
     ) -> bool {
         const NO_STATE: &[u8] = b"HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
         let slow = if mode == Mode::Slow { SLOW } else { 1 };
-        let usual = Duration::from_millis(chance.random_range(3..30)) * slow;
-        let first_token = self.manner.first_token.unwrap_or(usual);
+        let usual = Duration::from_millis(rng.random_range(3..30)) * slow;
+        let first_token = self.settings.first_token.unwrap_or(usual);
         // The page leaves open how much of this a request waits in the queue, and how much its state is on its way.
-        let queued = match self.manner.first_token {
+        let queued = match self.settings.first_token {
             Some(_) => self.states.reach() == ReleaseReach::Unawaited,
-            None => chance.random_bool(0.5),
+            None => rng.random_bool(0.5),
         };
         if queued {
             tokio::time::sleep(first_token).await;
@@ -399,24 +399,24 @@
             tokio::time::sleep(first_token).await;
         }
         self.network.process_runs().await;
-        if chance.random_range(0..1_000) < self.manner.answers_lost_per_mille {
+        if rng.random_range(0..1_000) < self.settings.answers_lost_per_mille {
             attempt.connection.reset();
             return false;
         }
-        let mode = if fate == CallFate::AnswerLost { Mode::Halves } else { mode };
-        self.stream(attempt, id, chance, mode, writes).await
+        let mode = if behavior == CallBehavior::AnswerLost { Mode::Halves } else { mode };
+        self.stream(attempt, id, rng, mode, writes).await
     }
 
     async fn read(
         &self,
         attempt: &Attempt<'_>,
         id: u64,
-        chance: &mut Pcg64,
-        (mode, fate): (Mode, CallFate),
+        rng: &mut Pcg64,
+        (mode, behavior): (Mode, CallBehavior),
         writes: &mut Writes,
     ) -> bool {
         let slow = if mode == Mode::Slow { SLOW } else { 1 };
-        tokio::time::sleep(Duration::from_millis(chance.random_range(3..25)) * slow).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(3..25)) * slow).await;
         let text = "{\"cached_tokens\":12}";
         let answer = match *self.mode.borrow() {
             Mode::Spoils => "HTTP/1.1 202 Accepted\r\nContent-Length: x\r\n\r\n".to_owned(),
@@ -424,7 +424,7 @@
         };
         self.network.process_runs().await;
         self.states.read(id, self.number);
-        if fate == CallFate::AnswerLost {
+        if behavior == CallBehavior::AnswerLost {
             attempt.over(Ran::Yes);
             attempt.connection.reset();
             return false;
@@ -443,18 +443,18 @@
         &self,
         attempt: &Attempt<'_>,
         id: u64,
-        chance: &mut Pcg64,
+        rng: &mut Pcg64,
         mode: Mode,
         writes: &mut Writes,
     ) -> bool {
-        let events = chance.random_range(2..14u32);
-        let breaks = chance.random_range(0..events);
+        let events = rng.random_range(2..14u32);
+        let breaks = rng.random_range(0..events);
         let slow = if mode == Mode::Slow { SLOW } else { 1 };
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         let mut text = head.to_owned();
         for event in 0..events {
             if event == breaks && matches!(mode, Mode::Spoils | Mode::Halves) {
-                self.book.note(id, Happened::BrokeOff(self.number));
+                self.recorder.record(id, RequestEvent::BrokeOff(self.number));
                 let part = if mode == Mode::Spoils { "zz\r\n no chunk\r\n" } else { "40\r\ndata: {" };
                 let _ = writes.write_all(part.as_bytes()).await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
@@ -467,12 +467,12 @@
             let content = format!("\"delta\":{{\"content\":\"n{event}\"}},\"finish_reason\":null");
             text += &chunk(&format!("data: {{\"choices\":[{{\"index\":0,{content}}}]}}\n\n"));
             attempt.connection.passes().await;
-            self.book.note(id, Happened::Wrote(event));
+            self.recorder.record(id, RequestEvent::Wrote(event));
             if writes.write_all(text.as_bytes()).await.is_err() {
                 return false;
             }
             text.clear();
-            tokio::time::sleep(Duration::from_millis(chance.random_range(5..40)) * slow).await;
+            tokio::time::sleep(Duration::from_millis(rng.random_range(5..40)) * slow).await;
         }
         let tokens = u64::from(events) * 5;
         let stop =
--- a/soak/src/worker/attempt.rs
+++ b/soak/src/worker/attempt.rs
@@ -3,7 +3,7 @@
 use super::{Mode, Role, Worker, Writes};
 use crate::http::Request;
 use crate::network::Connection;
-use crate::story::{Happened, Ran};
+use crate::trace::{Ran, RequestEvent};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt as _;
@@ -25,12 +25,16 @@
     pub(super) fn begin(worker: &'a Worker, connection: &'a Connection, id: u64, request: &Request) -> Self {
         let number = worker.attempts.fetch_add(1, Ordering::Relaxed);
         let budget = request.budget.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
-        worker.book.note_at(id, request.first, Happened::First { attempt: number, worker: worker.number });
+        worker.recorder.record_at(
+            id,
+            request.first,
+            RequestEvent::First { attempt: number, worker: worker.number },
+        );
         // A process that hangs has not taken what its machine accepts.
         let taken = *worker.mode.borrow() != Mode::Hangs;
         let whole =
-            Happened::Whole { attempt: number, worker: worker.number, budget, sent: request.sent, taken };
-        worker.book.note_at(id, request.last, whole);
+            RequestEvent::Whole { attempt: number, worker: worker.number, budget, sent: request.sent, taken };
+        worker.recorder.record_at(id, request.last, whole);
         let reads = worker.role == Role::Reads;
         let (ran, over) = (AtomicBool::new(!reads), AtomicBool::new(false));
         Attempt { worker, connection, id, number, taken, ran, over }
@@ -47,10 +51,10 @@
             let (attempt, worker) = (self.number, self.worker.number);
             let closed = self.connection.closed_by_router();
             if closed.is_some() {
-                self.worker.book.note(self.id, Happened::Noticed { attempt });
+                self.worker.recorder.record(self.id, RequestEvent::Noticed { attempt });
             }
             let at = closed.unwrap_or_else(Instant::now);
-            self.worker.book.note_at(self.id, at, Happened::Over { attempt, worker, ran });
+            self.worker.recorder.record_at(self.id, at, RequestEvent::Over { attempt, worker, ran });
         }
     }
 }
--- a/soak/tests/plan.rs
+++ b/soak/tests/plan.rs
@@ -1,8 +1,8 @@
 //! Plans: drawn, written, read, refused and shrunk.
 
+use fawnstream_soak::fault::{Fault, FaultAction, SilentRole};
 use fawnstream_soak::plan::{Plan, PlanError};
 use fawnstream_soak::shrink::shrink;
-use fawnstream_soak::trouble::{SilentRole, Trouble, What};
 
 #[test]
 fn a_seed_has_one_plan_and_a_file_keeps_it() {
@@ -20,8 +20,8 @@
 #[test]
 fn most_plans_have_troubles_that_overlap() {
     let overlaps = |plan: &Plan| {
-        let ends = |at: usize| plan.troubles[at].at_ms + plan.troubles[at].for_ms;
-        (1..plan.troubles.len()).any(|at| plan.troubles[at].at_ms < ends(at - 1))
+        let ends = |at: usize| plan.faults[at].at_ms + plan.faults[at].for_ms;
+        (1..plan.faults.len()).any(|at| plan.faults[at].at_ms < ends(at - 1))
     };
     let count = (1..=100).filter(|seed| overlaps(&Plan::draw(*seed))).count();
     assert!(count > 80, "{count} of 100");
@@ -30,11 +30,11 @@
 /// A release is made "at any worker": with all of them cut off no router can keep the rule on what is held.
 #[test]
 fn no_plan_cuts_off_all_servers_at_once() {
-    let silent = |plan: &Plan, role: SilentRole| -> Vec<Trouble> {
-        let of = |trouble: &&Trouble| trouble.what == What::RoleSilent { role };
-        plan.troubles.iter().filter(of).cloned().collect()
+    let silent = |plan: &Plan, role: SilentRole| -> Vec<Fault> {
+        let of = |fault: &&Fault| fault.action == FaultAction::RoleSilent { role };
+        plan.faults.iter().filter(of).cloned().collect()
     };
-    let overlap = |a: &Trouble, b: &Trouble| a.at_ms < b.at_ms + b.for_ms && b.at_ms < a.at_ms + a.for_ms;
+    let overlap = |a: &Fault, b: &Fault| a.at_ms < b.at_ms + b.for_ms && b.at_ms < a.at_ms + a.for_ms;
     let (mut readers_silent, mut writers_silent) = (0, 0);
     for seed in 1..1_000 {
         let plan = Plan::draw(seed);
@@ -57,8 +57,8 @@
     };
     assert!(wrong(&good.replace("routers = 2", "routers = 0")).contains("routers"));
     assert!(wrong(&good.replace("10.0", "-1.0")).contains("requests_per_s"));
-    let trouble = "[[troubles]]\nat_ms = 1\nfor_ms = 1\nwhat = \"worker_hangs\"\nworker = 9\n";
-    assert!(wrong(&format!("{good}{trouble}")).contains("a worker that there is not"));
+    let fault = "[[troubles]]\nat_ms = 1\nfor_ms = 1\nwhat = \"worker_hangs\"\nworker = 9\n";
+    assert!(wrong(&format!("{good}{fault}")).contains("a worker that there is not"));
     assert!(wrong("what = is").lines().count() == 1);
     assert!(matches!(Plan::read(&folder.path().join("none")), Err(PlanError::Io(_))));
 }
@@ -66,14 +66,14 @@
 #[test]
 fn shrinking_finds_the_two_troubles_that_matter() {
     let mut plan = Plan::draw(1);
-    plan.troubles = (0..9).map(|n| Plan::draw(n + 1).troubles[0].clone()).collect();
-    let (first, second) = (plan.troubles[2].clone(), plan.troubles[7].clone());
+    plan.faults = (0..9).map(|n| Plan::draw(n + 1).faults[0].clone()).collect();
+    let (first, second) = (plan.faults[2].clone(), plan.faults[7].clone());
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     let wanted = [first.clone(), second.clone()];
     let fails = |plan: Plan| {
-        let both = wanted.iter().all(|trouble| plan.troubles.contains(trouble));
+        let both = wanted.iter().all(|fault| plan.faults.contains(fault));
         async move { both }
     };
     let fewest = runtime.block_on(shrink(plan, 100, fails));
-    assert_eq!(fewest.troubles, [first, second]);
+    assert_eq!(fewest.faults, [first, second]);
 }
