--- a/soak/src/class.rs
+++ b/soak/src/class.rs
@@ -1,18 +1,18 @@
-//! The classes of requests, by what they do to servers.
+//! Classes of requests, by their side effects.
 
-/// What a class's requests do to servers.
+/// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Nothing: they may be repeated.
+    /// No side effects: may run repeatedly.
     Pure,
-    /// Something: they may run once.
+    /// Side effects: may run once.
     SideEffect,
-    /// Something; repeats are dropped for a while.
+    /// Side effects, with an idempotency key: servers drop repeats within the deduplication window.
     Keyed,
 }
 
 impl Class {
-    /// Its name in the settings.
+    /// The class's name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Class::Pure => "log-chat",
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What a router is told when it starts.
+//! The configuration of router processes.
 
 use crate::class::Class;
 use crate::limits::{
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The settings and the rest of one router's configuration; `members` is the list that it is told at its start.
+/// One router's configuration with its settings. `members` is the list of servers known at its start.
 pub fn configuration(router: usize, plan: &Plan, discovery: SocketAddr, members: &Value) -> Value {
     let nanos = |time: Duration| time.as_nanos() as u64;
     let class = |class: Class, effect: &str| {
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,193 +1,194 @@
-//! Troubles: what can go wrong in a play, and with whom.
+//! The faults that a plan can have.
 
 use serde::{Deserialize, Serialize};
 
-/// One trouble.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins, after the quiet time.
+    /// Start, counted from the end of the quiet time.
     pub at_ms: u64,
-    /// How long it lasts.
+    /// Duration.
     pub for_ms: u64,
-    /// What it is.
+    /// What happens.
     #[serde(flatten)]
     pub action: FaultAction,
 }
 
-/// A system call that fails at a router.
+/// A router's system call that fails, one for each `fawnstream_faults::FaultKind` of the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SystemCall {
-    /// See `fawnstream_faults::FaultKind`.
+    /// `accept4`: errors of the new connection, and temporary ones.
     Accept,
-    /// The same.
+    /// `connect`: no local address, no route, refused, timed out.
     Connect,
-    /// The same.
+    /// `socket`: the system's file table or memory is temporarily full.
     Socket,
-    /// The same.
+    /// `epoll_wait`: EINTR.
     Wait,
-    /// The same.
+    /// Short reads and writes of sockets.
     Short,
-    /// The same.
+    /// `accept4`: the process is out of descriptors.
     Exhausted,
 }
 
-/// What all servers of a plan that fall silent together do.
+/// The servers that a fault of a whole role affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SilentRole {
-    /// They read.
+    /// All servers that read.
     Readers,
-    /// They write.
+    /// All servers that write.
     Writers,
 }
 
-/// What goes wrong. Routers and servers go by their numbers.
+/// What a fault does. Routers and servers are given by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum FaultAction {
-    /// SIGTERM, then SIGKILL if it has not ended in time, and a new process.
+    /// SIGTERM, SIGKILL if the process has not exited in time, and a new process.
     RouterStops {
-        /// Which.
+        /// The router's number.
         router: usize,
     },
-    /// SIGTERM, SIGHUP and SIGTERM in quick succession; SIGKILL if it has not ended in time, and a new process.
+    /// SIGTERM, SIGHUP and SIGTERM in quick succession, SIGKILL if the process has not exited in time, and a new
+    /// process.
     RouterSignals {
-        /// Which.
+        /// The router's number.
         router: usize,
     },
     /// SIGKILL, and a new process.
     RouterKilled {
-        /// Which.
+        /// The router's number.
         router: usize,
     },
     /// SIGHUP.
     RouterReloads {
-        /// Which.
+        /// The router's number.
         router: usize,
     },
     /// SIGSTOP, and SIGCONT at the end.
     RouterFrozen {
-        /// Which.
+        /// The router's number.
         router: usize,
     },
-    /// Requests are taken and never answered.
+    /// The server's machine accepts requests, and its process never reads them.
     WorkerHangs {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// Nothing passes in either direction; at the end all its connections are reset.
+    /// No bytes pass in either direction; all the server's connections are reset at the end.
     WorkerSilent {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// Its process stands still: its machine accepts what comes, and it is dealt with at the end.
+    /// The server's process stops. Its machine accepts bytes, and the process handles them when it continues.
     WorkerStopped {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// So many of a thousand connections to it, old and new, fall silent and stay so; it is well itself.
+    /// A share of the server's connections, old and new, falls silent for good. The server itself is healthy.
     ConnectionsSilent {
-        /// Which.
+        /// The server's number.
         worker: usize,
-        /// So many of a thousand.
+        /// Share of the connections.
         per_mille: u32,
     },
-    /// All servers that read, or all that write, are silent as one is that is cut off.
+    /// No bytes pass to or from any server of a role; all their connections are reset at the end.
     RoleSilent {
-        /// Which.
+        /// The role.
         role: SilentRole,
     },
-    /// All its connections are reset, once.
+    /// All the server's connections are reset once.
     WorkerResets {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// Its process dies, and a new one starts cold at the end.
+    /// The server's process dies, and a new one begins its slow start at the end.
     WorkerCrashes {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// It is told as leaving, and as active again at the end.
+    /// Discovery lists the server as leaving, and as active again at the end.
     WorkerDrains {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// Its process takes requests and says nothing.
+    /// The server's process takes requests and never answers.
     WorkerTakes {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// All servers that read, or all that write, do so.
+    /// All servers of a role take requests and never answer.
     RoleTakes {
-        /// Which.
+        /// The role.
         role: SilentRole,
     },
-    /// It takes requests and turns them away later.
+    /// The server takes requests and rejects them later.
     WorkerRefusesLate {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// It takes requests and resets their connections later.
+    /// The server takes requests and resets their connections later.
     WorkerResetsLate {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// It turns requests away.
+    /// The server rejects requests.
     WorkerRejects {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// Its answers break in the middle: garbage, or half a chunk and a reset.
+    /// The server's answers break in the middle: garbage, or half a chunk and a close.
     WorkerSpoils {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// It takes ten times as long.
+    /// The server takes ten times as long.
     WorkerSlow {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// It closes idle connections at once.
+    /// The server closes idle connections at once.
     WorkerForgets {
-        /// Which.
+        /// The server's number.
         worker: usize,
     },
-    /// Agents say nothing, and learn nothing.
+    /// Discovery's agents send nothing, and learn nothing.
     DiscoverySilent,
-    /// All watches are reset, once.
+    /// All watches are reset once.
     DiscoveryResets,
     /// System calls of one router fail.
     SystemCalls {
-        /// Which.
+        /// The router's number.
         router: usize,
-        /// Which call.
+        /// The system call.
         call: SystemCall,
-        /// So many of a thousand.
+        /// Share of the calls.
         per_mille: u32,
     },
     /// Writes and syncs of one router's ledger fail.
     DiskFails {
-        /// Which.
+        /// The router's number.
         router: usize,
     },
-    /// One router's wall clock is stepped; it stays so until the end.
+    /// One router's wall clock is stepped, until the end of the run.
     WallClock {
-        /// Which.
+        /// The router's number.
         router: usize,
-        /// By so much.
+        /// Size of the step.
         step_ms: i64,
     },
-    /// Most clients leave before their answer has ended.
+    /// Most clients leave before their answer ends.
     ClientsLeave,
-    /// Clients send half a request and stay.
+    /// Some clients send part of a request and wait.
     ClientsHalf,
-    /// Twice as many requests.
+    /// The request rate doubles.
     Burst,
 }
 
 impl FaultAction {
-    /// The router that it is about.
+    /// The router that the fault affects, if it is one router.
     pub fn router(&self) -> Option<usize> {
         match *self {
             FaultAction::RouterStops { router }
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The server that it is about.
+    /// The server that the fault affects, if it is one server.
     pub fn worker(&self) -> Option<usize> {
         match *self {
             FaultAction::WorkerHangs { worker }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,21 +1,21 @@
-//! A randomized fault soak: real router processes among stand-in servers, discovery and clients, troubles that overlap as
-//! a plan says, and checks that know nothing of the router's code. `docs/testing.md` has its commands.
+//! A randomized fault soak: real router processes among stand-in servers, discovery and clients, overlapping faults
+//! from a plan, and checks that use no code of the router. `docs/testing.md` has its commands.
 //!
-//! | module | what |
+//! | module | content |
 //! | --- | --- |
-//! | [`plan`] | what happens when, drawn from a seed and kept in a file |
-//! | [`fault`] | what can go wrong, and with whom |
-//! | [`trace`] | what clients and servers saw, request by request |
+//! | [`plan`] | the load and faults of a run, drawn from a seed and stored in a file |
+//! | [`fault`] | the faults |
+//! | [`trace`] | event traces of requests and routers |
 //! | [`worker`], [`discovery`], [`client`] | the stand-ins |
-//! | [`class`], [`limits`], [`configuration`] | what routers are told |
-//! | [`release_reach`] | what a release lets go of, by which reading |
-//! | [`leases`] | what readers hold, what waits for it, and what a release lets go of |
-//! | [`behavior`] | what becomes of single calls at servers that are well |
-//! | [`network`] | what passes between routers and servers, and what does not |
-//! | [`router`] | router processes: starts, signals, faults of their system calls |
-//! | [`harness`] | one play of a plan |
+//! | [`class`], [`limits`], [`configuration`] | the routers' configuration |
+//! | [`release_reach`] | the two readings of what a release frees |
+//! | [`leases`] | what readers hold and which attempts wait for it |
+//! | [`behavior`] | faults of single calls at healthy servers |
+//! | [`network`] | the network between routers and servers, and its faults |
+//! | [`router`] | router processes: starts, signals, system call faults |
+//! | [`harness`] | the run of a plan |
 //! | [`oracle`] | the rules, each a named check |
-//! | [`shrink`] | the fewest troubles that still fail |
+//! | [`shrink`] | shrinking of a failing plan |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -1,44 +1,44 @@
-//! The numbers that routers are told and that the checks go by: from the operators' pages.
+//! Limits from the operators' specification: routers are configured with them, and the checks apply them.
 
 use std::time::Duration;
 
-/// An answer so long after its time only earns nothing; later it is lost.
+/// An answer is worth nothing after its deadline, and counts as lost after this further time.
 pub const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has left.
+/// Time after a client left in which an attempt may still begin.
 pub const CLIENT_LEFT_SLACK: Duration = Duration::from_millis(100);
-/// What is told of the time left may be so much more than what is left.
+/// Amount by which the time left told to a server may exceed the real time left.
 pub const BUDGET_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may begin so long after the news that its server drains; time limits on sockets are 50 ms longer.
+/// Time after the update that a server drains in which an attempt may still be sent to it.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// What sockets add to each limit.
+/// Time that sockets add to each limit.
 pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// A change counts as told at the latest so long after discovery had it and could be reached.
+/// Time after which a change counts as announced, once discovery knows it and can be reached.
 pub const DISCOVERY_DELAY: Duration = Duration::from_secs(6);
-/// What a reader holds is let go of within the settings' time, and so much more.
+/// Time in addition to the settings' `release_within` for readers to release what they hold.
 pub const LEASE_SLACK: Duration = Duration::from_millis(300);
-/// An event is passed on within this time.
+/// Maximum delay of an event.
 pub const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
-/// No more than this part of the streams may have a late event.
+/// Maximum share of streams with a late event.
 pub const MAX_LATE_STREAM_SHARE: f64 = 0.1;
-/// A restarted router is ready within this time.
+/// Time in which a restarted router must be ready.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A client that sends half a request gets an error or a close within this time.
+/// Time in which a client that sends part of a request must get an error or a close.
 pub const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// SIGKILL follows SIGTERM after the longest deadline, which counts as this where it is longer ...
+/// SIGKILL follows SIGTERM after the longest deadline and [`KILL_DELAY`]. Longer deadlines count as this.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// ... and so much more.
+/// Time from [`MAX_DEADLINE`] to SIGKILL.
 pub const KILL_DELAY: Duration = Duration::from_millis(700);
-/// A server that starts is warm after this time.
+/// Duration of a started server's slow start.
 pub const SLOW_START_TIME: Duration = Duration::from_secs(8);
-/// It starts at this part of what it can do.
+/// Share of its capacity at which a started server begins.
 pub const SLOW_START_SHARE: f64 = 0.1;
-/// It falls when it is sent this multiple of what it can do, in [`OVERLOAD_WINDOW`].
+/// A server fails when it receives this multiple of its capacity within [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// See [`OVERLOAD_MULTIPLE`].
+/// Window of [`OVERLOAD_MULTIPLE`].
 pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
-/// All routers together are told that customers may ask this many times what is asked.
+/// The customers' quota in the settings, as a multiple of the plan's request rate.
 pub const QUOTA_FACTOR: f64 = 1.5;
-/// A router's memory stays under this.
+/// Maximum resident memory of an idle router.
 pub const MAX_MEMORY_KB: u64 = 64 * 1024;
-/// A router's descriptors.
+/// Socket limit in a router's configuration.
 pub const MAX_SOCKETS: u64 = 256;
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,5 @@
-//! A plan: what happens when. It is drawn from a seed, and a file of it can be read, edited and played again.
+//! A fault plan: the load and the faults of one run. It is drawn from a seed and stored in a TOML file that can be
+//! edited and run again.
 
 use crate::fault::{Fault, FaultAction, SilentRole, SystemCall};
 use crate::limits::{KILL_DELAY, MAX_DEADLINE};
@@ -9,71 +10,75 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Troubles begin in this part of the time under load; what is left is for their end.
-const TROUBLE_PART: f64 = 0.7;
-/// One plan in so many begins its faults after a long quiet time.
+/// Faults begin within this share of the load time; the rest leaves time for them to end.
+const FAULT_START_SHARE: f64 = 0.7;
+/// One seed in this many has the long quiet time.
 const LONG_QUIET_EVERY: u64 = 8;
+/// Long fault-free time at the start of a run.
 const LONG_QUIET_MS: u64 = 15_000;
+/// Usual fault-free time at the start of a run.
 const SHORT_QUIET_MS: u64 = 800;
-/// Deadlines and the settings' time for what is held, in milliseconds, where a plan has the usual ones.
+/// Default deadline of requests.
 const USUAL_BUDGET_MS: u64 = 3_000;
+/// Default of the settings' `release_within`.
 const USUAL_RELEASE_MS: u64 = 1_000;
-/// Servers drop repeats of a keyed request for this time, in milliseconds, where a plan does not say.
+/// Default time in which servers drop repeats of a keyed request.
 const USUAL_DEDUP_WINDOW_MS: u64 = 1_500;
-/// Silences, times and signals are drawn by themselves: the other faults of a seed stay what they were.
-const SILENCES: u64 = 0x51_1e0c;
-/// The same for calls that fail after they were taken.
-const FAILING_CALLS: u64 = 0x7a_ce17;
-/// The same for processes that stand still one after the other, at the edge of short deduplication windows.
-const STOPPED_PROCESSES: u64 = 0x57_0bbed;
-/// A server notices the end of a connection so late at most.
-const MOST_NOTICED_LATE_MS: u64 = 150;
+/// Mask of the seed for silences, deadlines and signals. A generator of their own leaves the other faults of a seed
+/// unchanged.
+const SILENCES_MASK: u64 = 0x51_1e0c;
+/// Mask of the seed for calls that fail after a server took them, for the same reason.
+const FAILING_CALLS_MASK: u64 = 0x7a_ce17;
+/// Mask of the seed for servers whose processes stop in turn, at the edge of short deduplication windows.
+const STOPPED_PROCESSES_MASK: u64 = 0x57_0bbed;
+/// Upper bound of the drawn delay after which a server notices that a connection ended.
+const MAX_END_DELAY_MS: u64 = 150;
 
-/// One play.
+/// The load and the faults of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Where rng comes from: requests, and what is not told here.
+    /// Seed of the requests and of all random choices that the plan leaves open.
     pub seed: u64,
-    /// Router processes.
+    /// Number of router processes.
     pub routers: usize,
-    /// Servers that read.
+    /// Number of servers that read.
     pub readers: usize,
-    /// Servers that write.
+    /// Number of servers that write.
     pub writers: usize,
-    /// Requests a second, all clients together.
+    /// Request rate of all clients together.
     pub requests_per_s: f64,
-    /// Nothing goes wrong for so long at first.
+    /// Fault-free time at the start of the run.
     pub quiet_ms: u64,
-    /// Clients ask for so long after that.
+    /// Time after `quiet_ms` in which clients send requests and faults begin.
     pub load_ms: u64,
-    /// How long clients wait for their answers.
+    /// Deadline of each request.
     #[serde(default = "usual_budget_ms")]
     pub budget_ms: u64,
-    /// The settings' time for what is held.
+    /// The settings' `release_within`: the time in which routers release what readers hold.
     #[serde(default = "usual_release_ms")]
     pub release_within_ms: u64,
-    /// Servers drop repeats of a keyed request for this time.
+    /// Time in which servers drop repeats of a keyed request.
     #[serde(default = "usual_dedup_window_ms")]
     pub dedup_window_ms: u64,
-    /// Writers' first tokens take so long; none: some milliseconds.
+    /// Time to the first token of a writer; a few random milliseconds if not set.
     #[serde(default)]
     pub first_token_ms: Option<u64>,
-    /// So many of a thousand calls that servers took fail in a way that is drawn.
+    /// Share of the calls taken by servers that fail, in a way drawn for each call.
     #[serde(default)]
     pub calls_fail_per_mille: u32,
-    /// So many of a thousand answers of writers are lost before their first byte.
+    /// Share of the writers' answers that are lost before their first byte.
     #[serde(default)]
     pub answers_lost_per_mille: u32,
-    /// So many of a thousand releases do.
+    /// Share of the releases that are late, unanswered or reset.
     #[serde(default)]
     pub releases_fail_per_mille: u32,
-    /// A server notices the end of a call's connection so late at most.
+    /// Maximum delay after which a server notices that a call's connection ended.
     #[serde(default)]
     pub end_noticed_within_ms: u64,
-    /// What a release does to a state that an attempt waits for.
+    /// Effect of a release on a state that an attempt waits for.
     #[serde(default)]
     pub release_reach: ReleaseReach,
-    /// What goes wrong.
+    /// The faults, in order of their start.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
@@ -90,13 +95,13 @@
     USUAL_DEDUP_WINDOW_MS
 }
 
-/// A plan's file cannot be used.
+/// Why a plan cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// It makes no sense.
+    /// The TOML is malformed.
     #[error("{0}")]
     Toml(String),
     /// A number is out of its range.
@@ -105,7 +110,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let routers = match rng.random_range(0..10) {
@@ -136,30 +141,30 @@
             faults: Vec::new(),
         };
         let count = rng.random_range(3..=9);
-        // Most begin within a second of each other, so that they overlap.
-        let knot = rng.random_range(0.1..TROUBLE_PART) * load_ms as f64;
+        // Most faults begin within about a second of each other, so that they overlap.
+        let center = rng.random_range(0.1..FAULT_START_SHARE) * load_ms as f64;
         for _ in 0..count {
-            let spread: f64 = if rng.random_range(0..4) == 0 {
+            let offset: f64 = if rng.random_range(0..4) == 0 {
                 rng.random_range(-3e3..3e3)
             } else {
                 rng.random_range(-600.0..600.0)
             };
-            let at_ms = (knot + spread).clamp(0.0, load_ms as f64 * TROUBLE_PART) as u64;
+            let at_ms = (center + offset).clamp(0.0, load_ms as f64 * FAULT_START_SHARE) as u64;
             let for_ms = rng.random_range(200..3_000);
             let fault = plan.draw_fault(&mut rng, at_ms, for_ms);
             plan.faults.push(fault);
         }
-        plan.draw_silences(knot);
-        plan.draw_failing_calls(knot);
+        plan.draw_silences(center);
+        plan.draw_failing_calls(center);
         plan.draw_stopped_processes();
         plan.faults.sort_by_key(|fault| fault.at_ms);
         plan
     }
 
-    /// Times, silences and series of signals; most silences begin at about the time of the other faults, or right
-    /// after the quiet time.
-    fn draw_silences(&mut self, knot: f64) {
-        let mut rng = Pcg64::seed_from_u64(self.seed ^ SILENCES);
+    /// Draws deadlines, silences and series of signals. Most silences begin near the other faults, or right after the
+    /// quiet time.
+    fn draw_silences(&mut self, center: f64) {
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ SILENCES_MASK);
         if rng.random_range(0..5) < 2 {
             self.budget_ms = rng.random_range(1_000..USUAL_BUDGET_MS);
         }
@@ -167,8 +172,8 @@
             self.release_within_ms = rng.random_range(300..USUAL_RELEASE_MS);
         }
         for _ in 0..rng.random_range(0..=3) {
-            let at = if rng.random_range(0..4) == 0 { 0.0 } else { knot + rng.random_range(-600.0..600.0) };
-            let at_ms = at.clamp(0.0, self.load_ms as f64 * TROUBLE_PART) as u64;
+            let at = if rng.random_range(0..4) == 0 { 0.0 } else { center + rng.random_range(-600.0..600.0) };
+            let at_ms = at.clamp(0.0, self.load_ms as f64 * FAULT_START_SHARE) as u64;
             let for_ms = rng.random_range(300..3_500);
             let writer = self.readers + rng.random_range(0..self.writers);
             let worker = rng.random_range(0..self.readers + self.writers);
@@ -181,25 +186,26 @@
                 _ => FaultAction::RouterSignals { router: rng.random_range(0..self.routers) },
             };
             let fault = Fault { at_ms, for_ms, action };
-            if !self.silences_all_with(&fault) {
+            if !self.silences_both_roles(&fault) {
                 self.faults.push(fault);
             }
         }
     }
 
-    /// With this fault both roles would be silent at once: a release is made "at any worker", and none could be reached.
-    fn silences_all_with(&self, new: &Fault) -> bool {
+    /// Whether `new` would silence both roles at once. A release goes to "any worker", and then no worker could be
+    /// reached.
+    fn silences_both_roles(&self, new: &Fault) -> bool {
         let FaultAction::RoleSilent { role } = new.action else { return false };
         let other_role = |action: &FaultAction| matches!(action, FaultAction::RoleSilent { role: other } if *other != role);
         let overlaps = |old: &Fault| old.at_ms < new.at_ms + new.for_ms && new.at_ms < old.at_ms + old.for_ms;
         self.faults.iter().any(|old| other_role(&old.action) && overlaps(old))
     }
 
-    /// Calls that are taken and fail later, and how servers see ends and releases.
-    fn draw_failing_calls(&mut self, knot: f64) {
-        let mut rng = Pcg64::seed_from_u64(self.seed ^ FAILING_CALLS);
+    /// Draws calls that fail after a server took them, and how servers handle ended connections and releases.
+    fn draw_failing_calls(&mut self, center: f64) {
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ FAILING_CALLS_MASK);
         if rng.random_bool(0.5) {
-            self.end_noticed_within_ms = rng.random_range(0..=MOST_NOTICED_LATE_MS);
+            self.end_noticed_within_ms = rng.random_range(0..=MAX_END_DELAY_MS);
         }
         if rng.random_bool(0.25) {
             self.release_reach = ReleaseReach::All;
@@ -211,8 +217,8 @@
             self.releases_fail_per_mille = rng.random_range(50..400);
         }
         for _ in 0..rng.random_range(0..=2) {
-            let at_ms =
-                (knot + rng.random_range(-600.0..600.0)).clamp(0.0, self.load_ms as f64 * TROUBLE_PART);
+            let at_ms = (center + rng.random_range(-600.0..600.0))
+                .clamp(0.0, self.load_ms as f64 * FAULT_START_SHARE);
             let for_ms = rng.random_range(500..3_500);
             let worker = match rng.random_range(0..4) {
                 0 => rng.random_range(0..self.readers),
@@ -228,16 +234,16 @@
         }
     }
 
-    /// One server after the other stands still for about as long as repeats are dropped, while some answers get lost: so
-    /// repeats are on their way when their window ends.
+    /// Draws stops of one server after the other, each about as long as the deduplication window, and lost answers.
+    /// Repeats are then in transit when their window ends.
     fn draw_stopped_processes(&mut self) {
-        let mut rng = Pcg64::seed_from_u64(self.seed ^ STOPPED_PROCESSES);
+        let mut rng = Pcg64::seed_from_u64(self.seed ^ STOPPED_PROCESSES_MASK);
         if rng.random_bool(0.5) {
             return;
         }
         self.dedup_window_ms = rng.random_range(500..=USUAL_DEDUP_WINDOW_MS);
         self.answers_lost_per_mille = rng.random_range(100..400);
-        let last = self.load_ms as f64 * TROUBLE_PART;
+        let last = self.load_ms as f64 * FAULT_START_SHARE;
         let mut at = rng.random_range(0.0..last / 2.0);
         while at < last {
             let worker = rng.random_range(0..self.readers + self.writers);
@@ -251,27 +257,27 @@
         }
     }
 
-    /// How long servers drop repeats of a keyed request.
+    /// Time in which servers drop repeats of a keyed request.
     pub fn dedup_window(&self) -> Duration {
         Duration::from_millis(self.dedup_window_ms)
     }
 
-    /// How long clients wait for their answers.
+    /// Deadline of each request.
     pub fn budget(&self) -> Duration {
         Duration::from_millis(self.budget_ms)
     }
 
-    /// The settings' time for what is held.
+    /// Time in which routers release what readers hold.
     pub fn release_within(&self) -> Duration {
         Duration::from_millis(self.release_within_ms)
     }
 
-    /// SIGKILL follows SIGTERM after this time, the earliest that the page allows.
+    /// Time from SIGTERM to SIGKILL, the shortest that the specification allows.
     pub fn kill_after(&self) -> Duration {
         self.budget().min(MAX_DEADLINE) + KILL_DELAY
     }
 
-    /// The servers that a fault is about.
+    /// The servers that a fault affects.
     pub fn workers_of(&self, action: &FaultAction) -> Vec<usize> {
         match action {
             FaultAction::RoleSilent { role: SilentRole::Readers }
@@ -335,7 +341,7 @@
         Fault { at_ms, for_ms, action }
     }
 
-    /// Reads a file.
+    /// Reads and checks a plan's file.
     pub fn read(path: &Path) -> Result<Self, PlanError> {
         let text = std::fs::read_to_string(path)?;
         let plan: Plan =
@@ -369,22 +375,22 @@
             return Err(PlanError::Range("end_noticed_within_ms: 1000 at most"));
         }
         let workers = self.readers + self.writers;
-        let known = |fault: &Fault| {
+        let exists = |fault: &Fault| {
             fault.action.router().is_none_or(|router| router < self.routers)
                 && fault.action.worker().is_none_or(|worker| worker < workers)
         };
-        if !self.faults.iter().all(known) {
+        if !self.faults.iter().all(exists) {
             return Err(PlanError::Range("a trouble names a router or a worker that there is not"));
         }
         Ok(self)
     }
 
-    /// Writes a file.
+    /// Writes the plan to a file.
     pub fn write(&self, path: &Path) -> Result<(), PlanError> {
         Ok(std::fs::write(path, self.text()?)?)
     }
 
-    /// A file's text.
+    /// The plan as TOML.
     pub fn text(&self) -> Result<String, PlanError> {
         toml::to_string(self).map_err(|error| PlanError::Toml(error.to_string()))
     }
--- a/soak/src/shrink.rs
+++ b/soak/src/shrink.rs
@@ -1,31 +1,31 @@
-//! The fewest faults of a failing plan that still fail: parts are left out, halves first, then one by one.
+//! Shrinks a failing plan to fewer faults: removes ever smaller parts of its faults while it still fails.
 
 use crate::plan::Plan;
 
-/// Leaves faults out as long as the plan still fails; plays at most so many times.
-pub async fn shrink<F>(plan: Plan, most: usize, mut fails: impl FnMut(Plan) -> F) -> Plan
+/// Removes faults while the plan still fails, in at most `max_runs` runs.
+pub async fn shrink<F>(plan: Plan, max_runs: usize, mut fails: impl FnMut(Plan) -> F) -> Plan
 where
     F: Future<Output = bool>,
 {
-    let (mut best, mut left) = (plan, most);
-    let mut part = best.faults.len() / 2;
-    while part > 0 {
-        let mut from = 0;
-        while from < best.faults.len() {
-            if left == 0 {
+    let (mut best, mut runs_left) = (plan, max_runs);
+    let mut size = best.faults.len() / 2;
+    while size > 0 {
+        let mut start = 0;
+        while start < best.faults.len() {
+            if runs_left == 0 {
                 return best;
             }
-            left -= 1;
+            runs_left -= 1;
             let mut fewer = best.clone();
-            let until = (from + part).min(fewer.faults.len());
-            fewer.faults.drain(from..until);
+            let until = (start + size).min(fewer.faults.len());
+            fewer.faults.drain(start..until);
             if fails(fewer.clone()).await {
                 best = fewer;
             } else {
-                from += part;
+                start += size;
             }
         }
-        part /= 2;
+        size /= 2;
     }
     best
 }
--- a/soak/tests/plan.rs
+++ b/soak/tests/plan.rs
@@ -1,11 +1,11 @@
-//! Plans: drawn, written, read, refused and shrunk.
+//! Drawing, writing, reading, checking and shrinking of plans.
 
 use fawnstream_soak::fault::{Fault, FaultAction, SilentRole};
 use fawnstream_soak::plan::{Plan, PlanError};
 use fawnstream_soak::shrink::shrink;
 
 #[test]
-fn a_seed_has_one_plan_and_a_file_keeps_it() {
+fn plans_are_deterministic_and_survive_a_round_trip_through_a_file() {
     let folder = tempfile::tempdir().unwrap();
     for seed in 1..50 {
         let plan = Plan::draw(seed);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn most_plans_have_troubles_that_overlap() {
+fn faults_overlap_in_most_plans() {
     let overlaps = |plan: &Plan| {
         let ends = |at: usize| plan.faults[at].at_ms + plan.faults[at].for_ms;
         (1..plan.faults.len()).any(|at| plan.faults[at].at_ms < ends(at - 1))
@@ -27,12 +27,12 @@
     assert!(count > 80, "{count} of 100");
 }
 
-/// A release is made "at any worker": with all of them cut off no router can keep the rule on what is held.
+/// A release goes to "any worker". With all servers silent at once no router could release its leases in time.
 #[test]
-fn no_plan_cuts_off_all_servers_at_once() {
+fn readers_and_writers_are_never_silent_at_the_same_time() {
     let silent = |plan: &Plan, role: SilentRole| -> Vec<Fault> {
-        let of = |fault: &&Fault| fault.action == FaultAction::RoleSilent { role };
-        plan.faults.iter().filter(of).cloned().collect()
+        let has_role = |fault: &&Fault| fault.action == FaultAction::RoleSilent { role };
+        plan.faults.iter().filter(has_role).cloned().collect()
     };
     let overlap = |a: &Fault, b: &Fault| a.at_ms < b.at_ms + b.for_ms && b.at_ms < a.at_ms + a.for_ms;
     let (mut readers_silent, mut writers_silent) = (0, 0);
@@ -41,30 +41,33 @@
         let (readers, writers) = (silent(&plan, SilentRole::Readers), silent(&plan, SilentRole::Writers));
         readers_silent += readers.len();
         writers_silent += writers.len();
-        assert!(!readers.iter().any(|a| writers.iter().any(|b| overlap(a, b))), "seed {seed}");
+        assert!(
+            !readers.iter().any(|reader| writers.iter().any(|writer| overlap(reader, writer))),
+            "seed {seed}"
+        );
     }
     assert!(readers_silent > 50 && writers_silent > 50, "{readers_silent}, {writers_silent}");
 }
 
 #[test]
-fn a_file_that_makes_no_sense_gets_one_clear_line() {
+fn invalid_plan_files_give_a_one_line_error() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("plan.toml");
-    let good = "seed = 1\nrouters = 2\nreaders = 1\nwriters = 1\nrequests_per_s = 10.0\nquiet_ms = 0\nload_ms = 100\n";
-    let wrong = |text: &str| {
+    let valid = "seed = 1\nrouters = 2\nreaders = 1\nwriters = 1\nrequests_per_s = 10.0\nquiet_ms = 0\nload_ms = 100\n";
+    let read_error = |text: &str| {
         std::fs::write(&path, text).unwrap();
         Plan::read(&path).unwrap_err().to_string()
     };
-    assert!(wrong(&good.replace("routers = 2", "routers = 0")).contains("routers"));
-    assert!(wrong(&good.replace("10.0", "-1.0")).contains("requests_per_s"));
+    assert!(read_error(&valid.replace("routers = 2", "routers = 0")).contains("routers"));
+    assert!(read_error(&valid.replace("10.0", "-1.0")).contains("requests_per_s"));
     let fault = "[[troubles]]\nat_ms = 1\nfor_ms = 1\nwhat = \"worker_hangs\"\nworker = 9\n";
-    assert!(wrong(&format!("{good}{fault}")).contains("a worker that there is not"));
-    assert!(wrong("what = is").lines().count() == 1);
+    assert!(read_error(&format!("{valid}{fault}")).contains("a worker that there is not"));
+    assert!(read_error("what = is").lines().count() == 1);
     assert!(matches!(Plan::read(&folder.path().join("none")), Err(PlanError::Io(_))));
 }
 
 #[test]
-fn shrinking_finds_the_two_troubles_that_matter() {
+fn shrinking_keeps_only_the_two_faults_that_fail() {
     let mut plan = Plan::draw(1);
     plan.faults = (0..9).map(|n| Plan::draw(n + 1).faults[0].clone()).collect();
     let (first, second) = (plan.faults[2].clone(), plan.faults[7].clone());
@@ -74,6 +77,6 @@
         let both = wanted.iter().all(|fault| plan.faults.contains(fault));
         async move { both }
     };
-    let fewest = runtime.block_on(shrink(plan, 100, fails));
-    assert_eq!(fewest.faults, [first, second]);
+    let shrunk = runtime.block_on(shrink(plan, 100, fails));
+    assert_eq!(shrunk.faults, [first, second]);
 }
