--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! `fawnstream-soak`: plays seeds or plans, prints each broken rule with its request's story, and shrinks what fails.
+//! `fawnstream-soak`: runs seeds or plans, prints each broken rule with its request's event trace, and shrinks plans
+//! that fail.
 
 use clap::Parser;
 use fawnstream_soak::harness::{HarnessError, run_plan};
@@ -15,43 +16,43 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// Stories printed for each failing play, at most.
-const MOST_STORIES: usize = 3;
-/// Plays that a shrinking may take.
-const MOST_SHRINKING: usize = 24;
+/// Maximum number of violations printed per failing run.
+const MAX_PRINTED: usize = 3;
+/// Maximum number of runs to shrink a plan.
+const MAX_SHRINK_RUNS: usize = 24;
 
-/// Plays real routers under overlapping faults and judges what clients and servers saw
+/// Runs real routers under overlapping faults and checks what clients and servers observed
 #[derive(Debug, Parser)]
 #[command(name = "fawnstream-soak", version)]
 struct Arguments {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, one after the other
+    /// Number of consecutive seeds
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Plays this plan in place of a seed's; with --seeds again and again, with its seed and the ones after it
+    /// Runs this plan in place of a seed's; with --seeds repeatedly, with its seed and the ones after it
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// Begins no further play after this time
+    /// Begins no further run after this time
     #[arg(long, value_name = "MINUTES")]
     minutes: Option<f64>,
-    /// Plays one seed alone and keeps the routers' logs, whatever comes of it
+    /// Runs one seed alone and keeps the routers' logs, whatever the result
     #[arg(long, value_name = "SEED", conflicts_with_all = ["plan", "seeds"])]
     replay: Option<u64>,
-    /// Prints the seeds' plans and plays nothing
+    /// Prints the seeds' plans and runs nothing
     #[arg(long)]
     draw: bool,
-    /// Plays at once
+    /// Number of parallel runs
     #[arg(long, default_value_t = 4)]
     jobs: usize,
     /// The router's program
     #[arg(long, value_name = "FILE", default_value = "target/release/fawnstream")]
     program: PathBuf,
-    /// Where failing plans, stories and logs go
+    /// Folder for failing plans, event traces and logs
     #[arg(long, value_name = "FOLDER", default_value = "target/soak")]
     out: PathBuf,
-    /// Leaves failing plans as they are
+    /// Does not shrink failing plans
     #[arg(long)]
     no_shrink: bool,
 }
@@ -66,8 +67,8 @@
     Io(#[from] std::io::Error),
 }
 
-/// What came of one play.
-struct Played {
+/// The result of one run.
+struct RunResult {
     plan: Plan,
     violations: Vec<Violation>,
     requests: usize,
@@ -77,7 +78,7 @@
     lateness: Duration,
 }
 
-/// Releases that routers counted, by what they were made for.
+/// Releases that routers counted, by reason.
 #[derive(Clone, Copy, Debug, Default)]
 struct Releases {
     needed: u64,
@@ -105,21 +106,21 @@
     }
 }
 
-/// A figure of all routers at rest together.
+/// Sum of a metric over all routers at the end of the run.
 fn total(seen: &Observations, name: &str) -> u64 {
     seen.idle_routers.iter().filter_map(|rest| rest.metrics.get(name)).sum::<f64>() as u64
 }
 
-/// What silences cost.
+/// Effects of silent connections.
 #[derive(Clone, Copy, Debug, Default)]
 struct Silences {
-    /// Calls that were sent on silent connections.
-    swallowed: usize,
-    /// The most that went to one server once it should have been found out.
-    after_found_out: usize,
-    /// Holds that were released while a call was out.
+    /// Calls sent on silent connections.
+    silenced: usize,
+    /// Maximum number of calls to one server after the detection time.
+    after_detection: usize,
+    /// Leases released while a call was in progress.
     overdue: u64,
-    /// Those of them whose call was answered.
+    /// Calls of these that were answered.
     answered: u64,
 }
 
@@ -129,48 +130,48 @@
             calls.iter().filter(|call| call.since_silence > SILENCE_DETECTION_TIME).count()
         };
         Silences {
-            swallowed: seen.silenced_calls.values().map(Vec::len).sum(),
-            after_found_out: seen.silenced_calls.values().map(late).max().unwrap_or(0),
+            silenced: seen.silenced_calls.values().map(Vec::len).sum(),
+            after_detection: seen.silenced_calls.values().map(late).max().unwrap_or(0),
             overdue: total(seen, "router_holds_overdue"),
             answered: total(seen, "router_holds_overdue_answered"),
         }
     }
 
     fn add(&mut self, other: Silences) {
-        self.swallowed += other.swallowed;
-        self.after_found_out = self.after_found_out.max(other.after_found_out);
+        self.silenced += other.silenced;
+        self.after_detection = self.after_detection.max(other.after_detection);
         self.overdue += other.overdue;
         self.answered += other.answered;
     }
 }
 
-async fn one(plan: Plan, arguments: &Arguments, keep: bool) -> Result<Played, SoakError> {
+async fn run_one(plan: Plan, arguments: &Arguments, keep_files: bool) -> Result<RunResult, SoakError> {
     std::fs::create_dir_all(&arguments.out)?;
     let folder =
         tempfile::Builder::new().prefix(&format!("seed-{}-", plan.seed)).tempdir_in(&arguments.out)?;
     let seen = run_plan(&plan, &arguments.program, folder.path()).await?;
     let too_late = seen.lateness > MAX_LATENESS;
     let violations = if too_late { Vec::new() } else { judge(&seen, &plan) };
-    if keep || !violations.is_empty() {
+    if keep_files || !violations.is_empty() {
         let kept = folder.keep();
         plan.write(&kept.join("plan.toml"))?;
-        std::fs::write(kept.join("violations.txt"), told(&violations, usize::MAX))?;
+        std::fs::write(kept.join("violations.txt"), format_violations(&violations, usize::MAX))?;
         println!("seed {}: kept {}", plan.seed, kept.display());
     }
     let mut outcomes = BTreeMap::new();
-    for (_, happened) in seen.requests.values().flatten() {
-        if let RequestEvent::Ended(outcome) = happened {
+    for (_, event) in seen.requests.values().flatten() {
+        if let RequestEvent::Ended(outcome) = event {
             *outcomes.entry(format!("{outcome:?}")).or_default() += 1;
         }
     }
     let (silences, releases) = (Silences::of(&seen), Releases::of(&seen));
     let (requests, lateness) = (seen.requests.len(), seen.lateness);
-    Ok(Played { plan, violations, requests, outcomes, silences, releases, lateness })
+    Ok(RunResult { plan, violations, requests, outcomes, silences, releases, lateness })
 }
 
-fn told(violations: &[Violation], most: usize) -> String {
+fn format_violations(violations: &[Violation], max: usize) -> String {
     let mut text = String::new();
-    for violation in violations.iter().take(most) {
+    for violation in violations.iter().take(max) {
         text += &format!("  {}: {}\n", violation.check, violation.message);
         for line in &violation.trace {
             text += &format!("      {line}\n");
@@ -179,30 +180,32 @@
     text
 }
 
-/// The checks that were broken, and how often.
-fn counts(violations: &[Violation]) -> BTreeMap<&'static str, usize> {
+/// Number of violations by check.
+fn count_by_check(violations: &[Violation]) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     violations.iter().for_each(|violation| *counts.entry(violation.check).or_default() += 1);
     counts
 }
 
-async fn shrunk(played: &Played, arguments: &Arguments) -> Result<PathBuf, SoakError> {
-    let wanted = counts(&played.violations);
+async fn shrink_result(result: &RunResult, arguments: &Arguments) -> Result<PathBuf, SoakError> {
+    let expected = count_by_check(&result.violations);
     let fails = |plan: Plan| {
-        let wanted = &wanted;
+        let expected = &expected;
         async move {
-            let again = one(plan, arguments, false).await;
-            again.is_ok_and(|again| counts(&again.violations).keys().any(|check| wanted.contains_key(check)))
+            let rerun = run_one(plan, arguments, false).await;
+            rerun.is_ok_and(|rerun| {
+                count_by_check(&rerun.violations).keys().any(|check| expected.contains_key(check))
+            })
         }
     };
-    let fewest = shrink(played.plan.clone(), MOST_SHRINKING, fails).await;
-    let path = arguments.out.join(format!("shrunk-{}.toml", played.plan.seed));
-    fewest.write(&path)?;
+    let smallest = shrink(result.plan.clone(), MAX_SHRINK_RUNS, fails).await;
+    let path = arguments.out.join(format!("shrunk-{}.toml", result.plan.seed));
+    smallest.write(&path)?;
     println!(
         "seed {}: {} troubles of {} still fail: {}",
-        fewest.seed,
-        fewest.faults.len(),
-        played.plan.faults.len(),
+        smallest.seed,
+        smallest.faults.len(),
+        result.plan.faults.len(),
         path.display()
     );
     Ok(path)
@@ -221,65 +224,68 @@
 async fn soak(arguments: Arguments) -> Result<bool, SoakError> {
     let arguments = Arc::new(arguments);
     let until = arguments.minutes.map(|minutes| Instant::now() + Duration::from_secs_f64(minutes * 60.0));
-    let room = Arc::new(Semaphore::new(arguments.jobs.max(1)));
-    let mut plays = JoinSet::new();
+    let permits = Arc::new(Semaphore::new(arguments.jobs.max(1)));
+    let mut runs = JoinSet::new();
     for plan in plans(&arguments)? {
-        let (arguments, room) = (arguments.clone(), room.clone());
-        plays.spawn(async move {
-            let Ok(_permit) = room.acquire_owned().await else { return Ok(None) };
+        let (arguments, permits) = (arguments.clone(), permits.clone());
+        runs.spawn(async move {
+            let Ok(_permit) = permits.acquire_owned().await else { return Ok(None) };
             if until.is_some_and(|until| Instant::now() > until) {
                 return Ok(None);
             }
-            let keep = arguments.replay.is_some();
-            one(plan, &arguments, keep).await.map(Some)
+            let keep_files = arguments.replay.is_some();
+            run_one(plan, &arguments, keep_files).await.map(Some)
         });
     }
-    let (mut done, mut requests, mut lateness, mut failed) = (0, 0, Duration::ZERO, Vec::new());
-    let (mut again, mut void) = (Vec::new(), 0);
-    let mut all = BTreeMap::new();
+    let (mut judged, mut requests, mut lateness, mut failed) = (0, 0, Duration::ZERO, Vec::new());
+    let (mut to_repeat, mut not_judged) = (Vec::new(), 0);
+    let mut broken_checks = BTreeMap::new();
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     let mut silences = Silences::default();
     let mut releases = Releases::default();
     loop {
-        let (played, alone) = match plays.join_next().await {
-            Some(Ok(played)) => (played?, false),
+        let (result, repeated) = match runs.join_next().await {
+            Some(Ok(result)) => (result?, false),
             Some(Err(_)) => continue,
-            None => match again.pop() {
-                Some(plan) => (Some(one(plan, &arguments, false).await?), true),
+            None => match to_repeat.pop() {
+                Some(plan) => (Some(run_one(plan, &arguments, false).await?), true),
                 None => break,
             },
         };
-        let Some(played) = played else { continue };
-        if played.lateness > MAX_LATENESS {
-            println!("seed {}: the harness was late by {} ms", played.plan.seed, played.lateness.as_millis());
-            match alone {
-                true => void += 1,
-                false => again.push(played.plan),
+        let Some(result) = result else { continue };
+        if result.lateness > MAX_LATENESS {
+            println!("seed {}: the harness was late by {} ms", result.plan.seed, result.lateness.as_millis());
+            match repeated {
+                true => not_judged += 1,
+                false => to_repeat.push(result.plan),
             }
             continue;
         }
-        (done, requests, lateness) = (done + 1, requests + played.requests, lateness.max(played.lateness));
-        silences.add(played.silences);
-        releases.add(played.releases);
-        for (outcome, count) in &played.outcomes {
+        (judged, requests, lateness) =
+            (judged + 1, requests + result.requests, lateness.max(result.lateness));
+        silences.add(result.silences);
+        releases.add(result.releases);
+        for (outcome, count) in &result.outcomes {
             *outcomes.entry(outcome.clone()).or_default() += count;
         }
-        if !played.violations.is_empty() {
-            println!("seed {}: {:?}", played.plan.seed, counts(&played.violations));
-            print!("{}", told(&played.violations, MOST_STORIES));
-            counts(&played.violations).into_iter().for_each(|(check, n)| *all.entry(check).or_default() += n);
-            failed.push(played);
+        if !result.violations.is_empty() {
+            println!("seed {}: {:?}", result.plan.seed, count_by_check(&result.violations));
+            print!("{}", format_violations(&result.violations, MAX_PRINTED));
+            count_by_check(&result.violations)
+                .into_iter()
+                .for_each(|(check, count)| *broken_checks.entry(check).or_default() += count);
+            failed.push(result);
         }
     }
-    for played in failed.iter().take(if arguments.no_shrink { 0 } else { 1 }) {
-        shrunk(played, &arguments).await?;
+    for result in failed.iter().take(if arguments.no_shrink { 0 } else { 1 }) {
+        shrink_result(result, &arguments).await?;
     }
-    let all: BTreeMap<&str, usize> = all;
+    let broken_checks: BTreeMap<&str, usize> = broken_checks;
     println!("outcomes: {outcomes:?}");
     println!(
         "silences: {} calls swallowed, {} at most at one server after its first {} ms; {} holds released under a call, {} of the calls answered",
-        silences.swallowed,
-        silences.after_found_out,
+        silences.silenced,
+        silences.after_detection,
         SILENCE_DETECTION_TIME.as_millis(),
         silences.overdue,
         silences.answered
@@ -289,14 +295,14 @@
         releases.needed, releases.repeated, releases.under_attempt, releases.in_vain
     );
     println!(
-        "{done} plays, {void} too late to judge, {requests} requests, the harness late by {} ms at most, {} failed {all:?}",
+        "{judged} plays, {not_judged} too late to judge, {requests} requests, the harness late by {} ms at most, {} failed {broken_checks:?}",
         lateness.as_millis(),
         failed.len()
     );
     Ok(failed.is_empty())
 }
 
-/// Prints plans as their files have them.
+/// Prints plans in the format of their files.
 fn print_plans(arguments: &Arguments) -> Result<(), SoakError> {
     for plan in plans(arguments)? {
         println!("{}", plan.text()?);
