--- a/soak/src/behavior.rs
+++ b/soak/src/behavior.rs
@@ -1,83 +1,83 @@
-//! What becomes of single calls at servers that are otherwise well: drawn for each call, by the plan's shares.
+//! Faults of single calls and releases at otherwise healthy servers, drawn by the plan's shares.
 
 use rand::RngExt as _;
 use std::time::Duration;
 
-/// Shares are in parts of this.
-const WHOLE: u32 = 1_000;
-/// A call that was taken is refused, or its connection reset, this late.
-const LATE_MS: std::ops::Range<u64> = 600..1_100;
-/// A slow call takes so much longer.
-const SLOWER_MS: std::ops::Range<u64> = 100..1_500;
-/// A release is worked on this late.
-const LATE_RELEASE_MS: std::ops::Range<u64> = 10..150;
+/// Shares are given per mille.
+const PER_MILLE: u32 = 1_000;
+/// Delay of a late rejection or reset.
+const DELAY_MS: std::ops::Range<u64> = 600..1_100;
+/// Additional time of a slow call.
+const SLOWDOWN_MS: std::ops::Range<u64> = 100..1_500;
+/// Delay of a late release.
+const RELEASE_DELAY_MS: std::ops::Range<u64> = 10..150;
 
-/// What becomes of a request that a running server took.
+/// How a server handles a call that it took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallBehavior {
-    /// It is answered.
+    /// It answers.
     Answered,
-    /// Nothing: "workers that hang in the middle of their work".
+    /// It never answers: "workers that hang in the middle of their work".
     Hangs,
-    /// Its connection is reset after this time: "resets under requests that have begun, also long after".
+    /// It resets the connection after this time: "resets under requests that have begun, also long after".
     Reset(Duration),
-    /// It is turned away after this time: "queue full, draining, too many connections".
-    Refused(Duration),
-    /// It is answered so much later.
+    /// It rejects the call after this time: "queue full, draining, too many connections".
+    Rejected(Duration),
+    /// It answers later by this time.
     Slow(Duration),
-    /// Its stream breaks off, or a read ends well and its connection breaks: "a read may have ended well at the very
-    /// moment its connection was closed or broke".
+    /// Its stream breaks off, or it completes the read and resets the connection: "a read may have ended well at the
+    /// very moment its connection was closed or broke".
     AnswerLost,
 }
 
-/// What becomes of a release.
+/// How a server handles a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseBehavior {
-    /// It is done and answered.
+    /// It releases, and answers.
     Answered,
-    /// The same, after this time.
+    /// It releases and answers after this time.
     Late(Duration),
-    /// It is done, and nobody says so.
+    /// It releases, and does not answer.
     Unanswered,
-    /// It is not done, and its connection is reset.
+    /// It does not release, and resets the connection.
     Reset,
 }
 
 impl CallBehavior {
-    /// The fate of one call, where so many of a thousand fail.
+    /// Draws the handling of a call; `per_mille` is the share of failing calls.
     pub fn draw(rng: &mut impl rand::Rng, per_mille: u32) -> Self {
-        if rng.random_range(0..WHOLE) >= per_mille {
+        if rng.random_range(0..PER_MILLE) >= per_mille {
             return CallBehavior::Answered;
         }
-        let late = Duration::from_millis(rng.random_range(LATE_MS));
+        let delay = Duration::from_millis(rng.random_range(DELAY_MS));
         match rng.random_range(0..5) {
             0 => CallBehavior::Hangs,
-            1 => CallBehavior::Reset(late),
-            2 => CallBehavior::Refused(late),
-            3 => CallBehavior::Slow(Duration::from_millis(rng.random_range(SLOWER_MS))),
+            1 => CallBehavior::Reset(delay),
+            2 => CallBehavior::Rejected(delay),
+            3 => CallBehavior::Slow(Duration::from_millis(rng.random_range(SLOWDOWN_MS))),
             _ => CallBehavior::AnswerLost,
         }
     }
 
-    /// A call that is reset after some time.
+    /// A call whose connection is reset after a drawn delay.
     pub fn reset_late(rng: &mut impl rand::Rng) -> Self {
-        CallBehavior::Reset(Duration::from_millis(rng.random_range(LATE_MS)))
+        CallBehavior::Reset(Duration::from_millis(rng.random_range(DELAY_MS)))
     }
 
-    /// A call that is turned away after some time.
-    pub fn refused_late(rng: &mut impl rand::Rng) -> Self {
-        CallBehavior::Refused(Duration::from_millis(rng.random_range(LATE_MS)))
+    /// A call that is rejected after a drawn delay.
+    pub fn rejected_late(rng: &mut impl rand::Rng) -> Self {
+        CallBehavior::Rejected(Duration::from_millis(rng.random_range(DELAY_MS)))
     }
 }
 
 impl ReleaseBehavior {
-    /// The fate of one release, where so many of a thousand fail.
+    /// Draws the handling of a release; `per_mille` is the share of failing releases.
     pub fn draw(rng: &mut impl rand::Rng, per_mille: u32) -> Self {
-        if rng.random_range(0..WHOLE) >= per_mille {
+        if rng.random_range(0..PER_MILLE) >= per_mille {
             return ReleaseBehavior::Answered;
         }
         match rng.random_range(0..3) {
-            0 => ReleaseBehavior::Late(Duration::from_millis(rng.random_range(LATE_RELEASE_MS))),
+            0 => ReleaseBehavior::Late(Duration::from_millis(rng.random_range(RELEASE_DELAY_MS))),
             1 => ReleaseBehavior::Unanswered,
             _ => ReleaseBehavior::Reset,
         }
--- a/soak/src/harness.rs
+++ b/soak/src/harness.rs
@@ -1,4 +1,4 @@
-//! One play of a plan: the stand-ins and the routers, clients that ask, and the faults in their time.
+//! Runs a plan: stand-in servers, routers and clients, and the faults at their times.
 
 use crate::class::Class;
 use crate::client::{self, ClientRequest, ConnectionChoice, IdleConnections};
@@ -24,27 +24,27 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// All has come to rest after this: connections that rest have ended, and so has what was held.
-const REST: Duration = Duration::from_millis(4_500);
-/// How often the harness looks how late it is.
-const TICK: Duration = Duration::from_millis(10);
-/// A series of signals that ends a router: what follows the first SIGTERM, and how far apart.
+/// Time to wait after the load: idle connections have ended by then, and leases too.
+const SETTLE_TIME: Duration = Duration::from_millis(4_500);
+/// Interval at which the harness measures its own lateness.
+const LATENESS_INTERVAL: Duration = Duration::from_millis(10);
+/// Signals sent after the first SIGTERM of [`FaultAction::RouterSignals`], each after a pause.
 const SIGNALS: [(Duration, Signal); 2] =
     [(Duration::from_millis(40), Signal::HUP), (Duration::from_millis(40), Signal::TERM)];
-/// Connections that fell silent for ever are in fault to the end of any play.
-const FOR_EVER: Duration = Duration::from_secs(3_600);
-/// So many of a thousand: all.
-const ALL: u32 = 1_000;
-/// Halves of requests end before this byte.
-const MOST_CLIENT_CUT: usize = 4_096;
+/// Connections silenced for good count as faulty to the end of any run.
+const PERMANENT: Duration = Duration::from_secs(3_600);
+/// All connections, per mille.
+const ALL_PER_MILLE: u32 = 1_000;
+/// Partial requests end before this byte.
+const MAX_PART_BYTES: usize = 4_096;
 
-/// Why a play could not begin.
+/// Why a run could not begin.
 #[derive(Debug, thiserror::Error)]
 pub enum HarnessError {
-    /// Sockets or files.
+    /// A socket or file error.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A router.
+    /// A router could not be started.
     #[error("{0}")]
     Start(#[from] StartError),
 }
@@ -55,52 +55,52 @@
     workers: Vec<Arc<Worker>>,
     discovery: Arc<Discovery>,
     routers: Vec<Arc<Router>>,
-    /// Where each router's agent listens.
+    /// Addresses of discovery's agents, by router.
     agents: Vec<SocketAddr>,
-    leaving: AtomicBool,
-    halves: AtomicBool,
+    clients_leave: AtomicBool,
+    partial_requests: AtomicBool,
     burst: AtomicBool,
 }
 
-/// Plays a plan with this program, its files in this folder; gives what was seen.
+/// Runs a plan with this router program and keeps its files in `folder`. Returns what was observed.
 pub async fn run_plan(plan: &Plan, program: &Path, folder: &Path) -> Result<Observations, HarnessError> {
-    let world = Arc::new(build(plan, program, folder).await?);
-    let watched = tokio::spawn(watch_lateness(world.recorder.clone()));
+    let harness = Arc::new(build(plan, program, folder).await?);
+    let lateness_watch = tokio::spawn(watch_lateness(harness.recorder.clone()));
     let mut starts = JoinSet::new();
-    for router in &world.routers {
-        let (router, world) = (router.clone(), world.clone());
-        starts.spawn(async move { router.start(&world.configuration(router.number)).await });
+    for router in &harness.routers {
+        let (router, harness) = (router.clone(), harness.clone());
+        starts.spawn(async move { router.start(&harness.configuration(router.number)).await });
     }
     while let Some(started) = starts.join_next().await {
         if let Ok(started) = started {
             started?;
         }
     }
-    // Starting so many processes takes the machine a moment; nothing is judged until then.
-    world.recorder.with(|seen| seen.lateness = Duration::ZERO);
-    let born = Instant::now();
+    // Starting many processes delays the harness; its lateness counts only from here.
+    harness.recorder.with(|seen| seen.lateness = Duration::ZERO);
+    let start = Instant::now();
     let quiet = Duration::from_millis(plan.quiet_ms);
     let load = quiet + Duration::from_millis(plan.load_ms);
-    let clients = tokio::spawn(world.clone().ask(born + load));
+    let clients = tokio::spawn(harness.clone().send_requests(start + load));
     let mut faults = JoinSet::new();
     for fault in plan.faults.clone() {
-        let world = world.clone();
+        let harness = harness.clone();
         faults.spawn(async move {
-            tokio::time::sleep_until((born + quiet + Duration::from_millis(fault.at_ms)).into()).await;
-            world.fault(&fault).await;
+            tokio::time::sleep_until((start + quiet + Duration::from_millis(fault.at_ms)).into()).await;
+            harness.inject(&fault).await;
         });
     }
     while faults.join_next().await.is_some() {}
     let _ = clients.await;
-    tokio::time::sleep(REST).await;
-    world.end().await;
-    watched.abort();
-    Ok(world.recorder.take())
+    tokio::time::sleep(SETTLE_TIME).await;
+    harness.finish().await;
+    lateness_watch.abort();
+    Ok(harness.recorder.take())
 }
 
 async fn build(plan: &Plan, program: &Path, folder: &Path) -> Result<Harness, HarnessError> {
     let recorder = Arc::<Recorder>::default();
-    let states = Leases::new(plan.release_reach, recorder.clone());
+    let leases = Leases::new(plan.release_reach, recorder.clone());
     let attempts = Arc::<AtomicU64>::default();
     let settings = CallSettings {
         first_token: plan.first_token_ms.map(Duration::from_millis),
@@ -111,13 +111,13 @@
     };
     let mut workers = Vec::new();
     for number in 0..plan.readers + plan.writers {
-        let role = if number < plan.readers { Role::Reads } else { Role::Writes };
+        let role = if number < plan.readers { Role::Reader } else { Role::Writer };
         workers.push(Worker::start(
             number,
             role,
             plan.seed,
             recorder.clone(),
-            states.clone(),
+            leases.clone(),
             attempts.clone(),
             settings,
         )?);
@@ -129,13 +129,23 @@
         let seed = plan.seed.wrapping_mul(1_000).wrapping_add(number as u64);
         routers.push(Router::new(number, program, folder, seed, recorder.clone())?);
     }
-    let (leaving, halves, burst) = Default::default();
-    Ok(Harness { plan: plan.clone(), recorder, workers, discovery, routers, agents, leaving, halves, burst })
+    let (clients_leave, partial_requests, burst) = Default::default();
+    Ok(Harness {
+        plan: plan.clone(),
+        recorder,
+        workers,
+        discovery,
+        routers,
+        agents,
+        clients_leave,
+        partial_requests,
+        burst,
+    })
 }
 
 async fn watch_lateness(recorder: Arc<Recorder>) {
     loop {
-        let due = Instant::now() + TICK;
+        let due = Instant::now() + LATENESS_INTERVAL;
         tokio::time::sleep_until(due.into()).await;
         let late = due.elapsed();
         recorder.with(|seen| seen.lateness = seen.lateness.max(late));
@@ -143,16 +153,16 @@
 }
 
 impl Harness {
-    /// A router's configuration now: it knows the list that its agent has.
+    /// A router's current configuration, with the list that its agent has.
     fn configuration(&self, router: usize) -> String {
         let (plan, known) = (&self.plan, self.discovery.known());
         configuration(router, plan, self.agents[router], &known).to_string()
     }
 
-    /// Clients ask until then, each on a task of its own.
-    async fn ask(self: Arc<Self>, until: Instant) {
+    /// Sends clients' requests until then, each on its own task.
+    async fn send_requests(self: Arc<Self>, until: Instant) {
         let mut rng = Pcg64::seed_from_u64(self.plan.seed ^ 0xc11e);
-        let resting = IdleConnections::default();
+        let idle = IdleConnections::default();
         let mut clients = JoinSet::new();
         let mut number = 0;
         while Instant::now() < until {
@@ -160,87 +170,97 @@
             let wait = -rng.random_range(f64::MIN_POSITIVE..1.0).ln() / (self.plan.requests_per_s * burst);
             tokio::time::sleep(Duration::from_secs_f64(wait)).await;
             number += 1;
-            let Some(ask) = self.draw(&mut rng, number) else { continue };
-            if self.halves.load(Ordering::Relaxed) && rng.random_range(0..3) == 0 {
-                let cut = rng.random_range(0..MOST_CLIENT_CUT);
-                clients.spawn(client::half(ask.router, ask.at, ask, cut, self.recorder.clone()));
+            let Some(request) = self.draw_request(&mut rng, number) else { continue };
+            if self.partial_requests.load(Ordering::Relaxed) && rng.random_range(0..3) == 0 {
+                let cut = rng.random_range(0..MAX_PART_BYTES);
+                clients.spawn(client::send_part(
+                    request.router,
+                    request.address,
+                    request,
+                    cut,
+                    self.recorder.clone(),
+                ));
             } else {
-                clients.spawn(client::ask(ask, self.recorder.clone(), resting.clone()));
+                clients.spawn(client::send_request(request, self.recorder.clone(), idle.clone()));
             }
         }
         while clients.join_next().await.is_some() {}
     }
 
-    /// A client's request, at a router that takes clients now.
-    fn draw(&self, rng: &mut Pcg64, number: u64) -> Option<ClientRequest> {
+    /// Draws a client's request to a random router; none if that router accepts no clients now.
+    fn draw_request(&self, rng: &mut Pcg64, number: u64) -> Option<ClientRequest> {
         let router = rng.random_range(0..self.routers.len());
-        let (at, takes) = self.routers[router].takes()?;
+        let (address, choice) = self.routers[router].client_access()?;
         let class = match rng.random_range(0..4) {
             0 => Class::SideEffect,
             1 => Class::Keyed,
             _ => Class::Pure,
         };
-        let leave_part = if self.leaving.load(Ordering::Relaxed) { 0.7 } else { 0.06 };
-        let leaves = (rng.random_range(0.0..1.0) < leave_part)
+        let leave_share = if self.clients_leave.load(Ordering::Relaxed) { 0.7 } else { 0.06 };
+        let leaves_after = (rng.random_range(0.0..1.0) < leave_share)
             .then(|| Duration::from_millis(rng.random_range(0..300)));
-        let pieces = (rng.random_range(0..8) == 0).then(|| Duration::from_millis(rng.random_range(1..120)));
+        let pause = (rng.random_range(0..8) == 0).then(|| Duration::from_millis(rng.random_range(1..120)));
         Some(ClientRequest {
             id: self.plan.seed << 32 | number,
             session: rng.random_range(0..4_096),
             class,
             router,
-            at,
+            address,
             budget: self.plan.budget(),
-            leaves,
-            takes: if takes == ConnectionChoice::Kept && rng.random_range(0..2) == 0 {
+            leaves_after,
+            connection: if choice == ConnectionChoice::Idle && rng.random_range(0..2) == 0 {
                 ConnectionChoice::New
             } else {
-                takes
+                choice
             },
-            pieces,
+            pause,
         })
     }
 
-    /// One fault, from its beginning to its end.
-    async fn fault(&self, fault: &Fault) {
+    /// Applies one fault from its start to its end.
+    async fn inject(&self, fault: &Fault) {
         let time = Duration::from_millis(fault.for_ms);
         let begun = Instant::now();
         match fault.action {
             FaultAction::RouterStops { router } => {
-                let _turn = self.routers[router].turn.lock().await;
+                let _lock = self.routers[router].restart_lock.lock().await;
                 self.routers[router].stop(self.plan.kill_after(), &[]).await;
                 let _ = self.routers[router].start(&self.configuration(router)).await;
             }
             FaultAction::RouterSignals { router } => {
-                let _turn = self.routers[router].turn.lock().await;
+                let _lock = self.routers[router].restart_lock.lock().await;
                 self.routers[router].stop(self.plan.kill_after(), &SIGNALS).await;
                 let _ = self.routers[router].start(&self.configuration(router)).await;
             }
             FaultAction::RouterKilled { router } => {
-                let _turn = self.routers[router].turn.lock().await;
+                let _lock = self.routers[router].restart_lock.lock().await;
                 self.routers[router].kill().await;
                 let _ = self.routers[router].start(&self.configuration(router)).await;
             }
             FaultAction::RouterReloads { router } => self.routers[router].reload(),
             FaultAction::RouterFrozen { router } => self.routers[router].freeze(time).await,
-            FaultAction::WorkerHangs { worker } => self.mode(worker, Mode::Hangs, time).await,
-            FaultAction::WorkerSilent { worker } => self.silence(worker, ALL, time, SilenceEnd::Reset).await,
+            FaultAction::WorkerHangs { worker } => self.set_mode_for(worker, Mode::Hangs, time).await,
+            FaultAction::WorkerSilent { worker } => {
+                self.silence_connections(worker, ALL_PER_MILLE, time, SilenceEnd::Reset).await
+            }
             FaultAction::WorkerStopped { worker } => self.workers[worker].network.stop_process(time).await,
             FaultAction::ConnectionsSilent { worker, per_mille } => {
-                self.silence(worker, per_mille, time, SilenceEnd::Never).await;
+                self.silence_connections(worker, per_mille, time, SilenceEnd::StaySilent).await;
             }
             FaultAction::RoleSilent { .. } => {
                 let mut silences = JoinSet::new();
                 for worker in self.plan.workers_of(&fault.action) {
                     let network = self.workers[worker].network.clone();
-                    silences.spawn(async move { network.fall_silent(ALL, time, SilenceEnd::Reset).await });
+                    silences.spawn(async move {
+                        network.fall_silent(ALL_PER_MILLE, time, SilenceEnd::Reset).await
+                    });
                 }
                 while silences.join_next().await.is_some() {}
             }
             FaultAction::WorkerResets { worker } => self.workers[worker].network.reset(),
             FaultAction::WorkerCrashes { worker } => {
-                self.mode(worker, Mode::Dead, time).await;
-                // Discovery tells of the new process.
+                self.set_mode_for(worker, Mode::Dead, time).await;
+                // Discovery announces the new process.
                 self.discovery.change(|_| {});
             }
             FaultAction::WorkerDrains { worker } => {
@@ -248,73 +268,77 @@
                 tokio::time::sleep(time).await;
                 self.discovery.change(|list| list.leaving.retain(|known| *known != worker));
             }
-            FaultAction::WorkerTakes { worker } => self.mode(worker, Mode::Takes, time).await,
+            FaultAction::WorkerTakes { worker } => self.set_mode_for(worker, Mode::NeverAnswers, time).await,
             FaultAction::RoleTakes { .. } => {
                 let workers = self.plan.workers_of(&fault.action);
-                workers.iter().for_each(|worker| self.workers[*worker].set(Mode::Takes));
+                workers.iter().for_each(|worker| self.workers[*worker].set_mode(Mode::NeverAnswers));
                 tokio::time::sleep(time).await;
-                workers.iter().for_each(|worker| self.workers[*worker].set(Mode::Well));
+                workers.iter().for_each(|worker| self.workers[*worker].set_mode(Mode::Healthy));
+            }
+            FaultAction::WorkerRefusesLate { worker } => {
+                self.set_mode_for(worker, Mode::RejectsLate, time).await
+            }
+            FaultAction::WorkerResetsLate { worker } => {
+                self.set_mode_for(worker, Mode::ResetsLate, time).await
             }
-            FaultAction::WorkerRefusesLate { worker } => self.mode(worker, Mode::RefusesLate, time).await,
-            FaultAction::WorkerResetsLate { worker } => self.mode(worker, Mode::ResetsLate, time).await,
-            FaultAction::WorkerRejects { worker } => self.mode(worker, Mode::Rejects, time).await,
+            FaultAction::WorkerRejects { worker } => self.set_mode_for(worker, Mode::Rejects, time).await,
             FaultAction::WorkerSpoils { worker } if fault.for_ms.is_multiple_of(2) => {
-                self.mode(worker, Mode::Spoils, time).await
+                self.set_mode_for(worker, Mode::SendsGarbage, time).await
             }
-            FaultAction::WorkerSpoils { worker } => self.mode(worker, Mode::Halves, time).await,
-            FaultAction::WorkerSlow { worker } => self.mode(worker, Mode::Slow, time).await,
-            FaultAction::WorkerForgets { worker } => self.mode(worker, Mode::Forgets, time).await,
+            FaultAction::WorkerSpoils { worker } => self.set_mode_for(worker, Mode::BreaksOff, time).await,
+            FaultAction::WorkerSlow { worker } => self.set_mode_for(worker, Mode::Slow, time).await,
+            FaultAction::WorkerForgets { worker } => self.set_mode_for(worker, Mode::ClosesIdle, time).await,
             FaultAction::DiscoverySilent => {
-                self.discovery.silence(true);
+                self.discovery.set_silent(true);
                 tokio::time::sleep(time).await;
-                self.discovery.silence(false);
+                self.discovery.set_silent(false);
             }
             FaultAction::DiscoveryResets => self.discovery.reset(),
             FaultAction::SystemCalls { router, call, per_mille } => {
-                self.calls(router, &[calls(call)], per_mille, time).await;
+                self.fail_calls(router, &[fault_kind(call)], per_mille, time).await;
             }
             FaultAction::DiskFails { router } => {
-                self.calls(router, &[FaultKind::Write, FaultKind::Sync], 700, time).await
+                self.fail_calls(router, &[FaultKind::Write, FaultKind::Sync], 700, time).await
             }
             FaultAction::WallClock { router, step_ms } => {
                 let _ = self.routers[router].control.step_wall_clock(step_ms);
             }
-            FaultAction::ClientsLeave => flag(&self.leaving, time).await,
-            FaultAction::ClientsHalf => flag(&self.halves, time).await,
-            FaultAction::Burst => flag(&self.burst, time).await,
+            FaultAction::ClientsLeave => set_flag_for(&self.clients_leave, time).await,
+            FaultAction::ClientsHalf => set_flag_for(&self.partial_requests, time).await,
+            FaultAction::Burst => set_flag_for(&self.burst, time).await,
         }
-        let lasting = matches!(fault.action, FaultAction::ConnectionsSilent { .. });
-        let ended = if lasting { begun + FOR_EVER } else { Instant::now() };
+        let permanent = matches!(fault.action, FaultAction::ConnectionsSilent { .. });
+        let ended = if permanent { begun + PERMANENT } else { Instant::now() };
         for worker in self.plan.workers_of(&fault.action) {
             let span = (begun, ended);
             self.recorder.with(|seen| seen.worker_faults.entry(worker).or_default().push(span));
         }
     }
 
-    async fn mode(&self, worker: usize, mode: Mode, time: Duration) {
-        self.workers[worker].set(mode);
+    async fn set_mode_for(&self, worker: usize, mode: Mode, time: Duration) {
+        self.workers[worker].set_mode(mode);
         tokio::time::sleep(time).await;
-        self.workers[worker].set(Mode::Well);
+        self.workers[worker].set_mode(Mode::Healthy);
     }
 
-    async fn silence(&self, worker: usize, per_mille: u32, time: Duration, end: SilenceEnd) {
+    async fn silence_connections(&self, worker: usize, per_mille: u32, time: Duration, end: SilenceEnd) {
         self.workers[worker].network.fall_silent(per_mille, time, end).await;
     }
 
-    async fn calls(&self, router: usize, calls: &[FaultKind], per_mille: u32, time: Duration) {
-        calls.iter().for_each(|call| self.routers[router].fail(*call, per_mille));
+    async fn fail_calls(&self, router: usize, calls: &[FaultKind], per_mille: u32, time: Duration) {
+        calls.iter().for_each(|call| self.routers[router].set_fault_rate(*call, per_mille));
         tokio::time::sleep(time).await;
-        calls.iter().for_each(|call| self.routers[router].fail(*call, 0));
+        calls.iter().for_each(|call| self.routers[router].set_fault_rate(*call, 0));
     }
 
-    /// What is left when all has come to rest; then the routers are told to end.
-    async fn end(&self) {
+    /// Collects the routers' figures, stops the routers, and reads logs and ledgers.
+    async fn finish(&self) {
         for router in &self.routers {
-            if let Some(code) = router.died() {
-                self.recorder.record_router(router.number, RouterEvent::Ended(code));
+            if let Some(code) = router.exit_code() {
+                self.recorder.record_router(router.number, RouterEvent::Exited(code));
             }
-            if let Some(rest) = router.rest().await {
-                self.recorder.with(|seen| seen.idle_routers.push(rest));
+            if let Some(idle) = router.idle_figures().await {
+                self.recorder.with(|seen| seen.idle_routers.push(idle));
             }
         }
         let mut ends = JoinSet::new();
@@ -335,19 +359,19 @@
         }
     }
 
-    /// A ledger's entries; of a router that was killed nothing is wanted.
+    /// Reads a router's ledger. The ledger of a killed router may lack entries and is skipped.
     fn read_ledger(&self, router: &Router) {
         if router.was_killed() {
             return;
         }
         let mut entries = Vec::new();
-        let hear = |record: Record| {
+        let collect = |record: Record| {
             if let Record::Entry(entry) = record {
                 let written = (entry.outcome == Outcome::Served).then_some(entry.tokens.written);
                 entries.push((entry.label, written));
             }
         };
-        let read = read_all::<Record>(&router.usage(), "usage", hear);
+        let read = read_all::<Record>(&router.ledger_folder(), "usage", collect);
         let number = router.number;
         self.recorder.with(|seen| {
             if let Err(error) = read {
@@ -363,13 +387,13 @@
     }
 }
 
-async fn flag(flag: &AtomicBool, time: Duration) {
+async fn set_flag_for(flag: &AtomicBool, time: Duration) {
     flag.store(true, Ordering::Relaxed);
     tokio::time::sleep(time).await;
     flag.store(false, Ordering::Relaxed);
 }
 
-fn calls(call: SystemCall) -> FaultKind {
+fn fault_kind(call: SystemCall) -> FaultKind {
     match call {
         SystemCall::Accept => FaultKind::Accept,
         SystemCall::Connect => FaultKind::Connect,
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,82 +1,85 @@
-//! As much of HTTP/1.1 as the stand-ins need: heads, bodies by length, and chunks.
+//! The parts of HTTP/1.1 that the stand-ins need: heads, bodies with a length, and chunks.
 
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncReadExt as _};
 
-/// No head is longer.
-const LONGEST_HEAD: usize = 32 * 1024;
-const MOST_FIELDS: usize = 32;
-const PIECE: usize = 8 * 1024;
+/// Maximum size of a head. A request that is incomplete after 16 times as many bytes is given up.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Maximum number of header fields.
+const MAX_HEADERS: usize = 32;
+/// Size of a read.
+const READ_BYTES: usize = 8 * 1024;
 
-/// A request as a server got it.
+/// A request as a server received it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Its path.
+    /// The path.
     pub path: String,
-    /// Its id.
+    /// The request id.
     pub id: Option<u64>,
-    /// The time that it was told, in seconds.
+    /// The time left, as told to the server, in seconds.
     pub budget: Option<f64>,
     /// When its last byte was sent.
     pub sent: Instant,
-    /// When its first byte came, and its last.
+    /// When its first byte arrived.
     pub first: Instant,
-    /// See `first`.
+    /// When its last byte arrived.
     pub last: Instant,
 }
 
-/// Bytes that came and are not used yet.
+/// Bytes received and not used yet.
 #[derive(Debug, Default)]
-pub struct Inbox {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     first: Option<Instant>,
-    /// The last answer's head said that the connection ends with it.
-    pub ends: bool,
+    /// The latest answer's head had `Connection: close`.
+    pub closes: bool,
 }
 
-impl Inbox {
-    /// Whether nothing unused stands here.
+impl ReadBuffer {
+    /// Whether no unused bytes are left.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Reads more; false at the end of the connection.
-    pub async fn more(&mut self, from: &mut (impl AsyncRead + Unpin)) -> bool {
-        // Read aside: who waits here may be dropped, and must leave nothing behind.
-        let mut piece = [0; PIECE];
-        let size = from.read(&mut piece).await.unwrap_or(0);
-        self.bytes.extend_from_slice(&piece[..size]);
+    /// Reads more bytes; false at the end of the connection.
+    pub async fn read_more(&mut self, from: &mut (impl AsyncRead + Unpin)) -> bool {
+        // The bytes are read into a local buffer, since this future may be dropped at the await and must then leave
+        // `bytes` unchanged.
+        let mut buffer = [0; READ_BYTES];
+        let size = from.read(&mut buffer).await.unwrap_or(0);
+        self.bytes.extend_from_slice(&buffer[..size]);
         if size > 0 {
             self.first.get_or_insert_with(Instant::now);
         }
         size > 0
     }
 
-    fn used(&mut self, size: usize) {
+    fn consume(&mut self, size: usize) {
         self.bytes.drain(..size);
         self.first = (!self.bytes.is_empty()).then(Instant::now);
     }
 
-    /// The next whole request; none when the connection has ended, or what came is none.
-    pub async fn request(&mut self, from: &mut (impl AsyncRead + Unpin)) -> Option<Request> {
+    /// Reads the next complete request; none if the connection ended, or the bytes are not a request.
+    pub async fn read_request(&mut self, from: &mut (impl AsyncRead + Unpin)) -> Option<Request> {
         loop {
-            if let Some((mut request, size)) = self.whole_request()? {
+            if let Some((mut request, size)) = self.parse_request()? {
                 request.first = self.first.unwrap_or_else(Instant::now);
-                self.used(size);
+                self.consume(size);
                 return Some(request);
             }
-            if self.bytes.len() > LONGEST_HEAD * 16 || !self.more(from).await {
+            if self.bytes.len() > MAX_HEAD_BYTES * 16 || !self.read_more(from).await {
                 return None;
             }
         }
     }
 
-    /// A whole request, if there is one, and its size. None if what stands here is no request.
-    fn whole_request(&self) -> Option<Option<(Request, usize)>> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let mut parsed = httparse::Request::new(&mut fields);
+    /// A complete request and its size, if it has arrived. None if the bytes are not a request.
+    fn parse_request(&self) -> Option<Option<(Request, usize)>> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Request::new(&mut headers);
         let httparse::Status::Complete(head) = parsed.parse(&self.bytes).ok()? else { return Some(None) };
         let field = |name: &str| {
             let found = parsed.headers.iter().find(|field| field.name.eq_ignore_ascii_case(name))?;
@@ -101,10 +104,10 @@
         Some(Some((request, head + length)))
     }
 
-    /// The head of an answer that has come: its status, whether it is chunked, and its length.
-    pub fn answer_head(&mut self) -> Option<Result<(u16, bool, usize), ()>> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let mut parsed = httparse::Response::new(&mut fields);
+    /// The head of an answer, if it has arrived: status, whether the body is chunked, and the body's length.
+    pub fn take_answer_head(&mut self) -> Option<Result<(u16, bool, usize), ()>> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Response::new(&mut headers);
         let size = match parsed.parse(&self.bytes) {
             Ok(httparse::Status::Complete(size)) => size,
             Ok(httparse::Status::Partial) => return None,
@@ -115,17 +118,17 @@
         let chunked = field("transfer-encoding").is_some();
         let length = field("content-length")
             .and_then(|field| std::str::from_utf8(field.value).ok()?.trim().parse().ok());
-        let (length, ends) = (
+        let (length, closes) = (
             length.unwrap_or(0),
             field("connection").is_some_and(|field| field.value.eq_ignore_ascii_case(b"close")),
         );
-        self.used(size);
-        self.ends = ends;
+        self.consume(size);
+        self.closes = closes;
         Some(Ok((status, chunked, length)))
     }
 
-    /// The next whole chunk that has come.
-    pub fn chunk(&mut self) -> Option<Result<Vec<u8>, ()>> {
+    /// The next complete chunk, if it has arrived.
+    pub fn take_chunk(&mut self) -> Option<Result<Vec<u8>, ()>> {
         let (start, size) = match httparse::parse_chunk_size(&self.bytes) {
             Ok(httparse::Status::Complete((start, size))) => (start, size as usize),
             Ok(httparse::Status::Partial) => return None,
@@ -135,21 +138,21 @@
             return None;
         }
         let chunk = self.bytes[start..start + size].to_vec();
-        self.used(start + size + 2);
+        self.consume(start + size + 2);
         Some(Ok(chunk))
     }
 
-    /// Takes a body of this length, once it has come.
-    pub fn body(&mut self, length: usize) -> bool {
+    /// Discards a body of this length; false if it has not arrived.
+    pub fn take_body(&mut self, length: usize) -> bool {
         let whole = self.bytes.len() >= length;
         if whole {
-            self.used(length);
+            self.consume(length);
         }
         whole
     }
 }
 
-/// One chunk.
-pub fn chunk(text: &str) -> String {
+/// Encodes one chunk.
+pub fn encode_chunk(text: &str) -> String {
     format!("{:X}\r\n{text}\r\n", text.len())
 }
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -1,15 +1,16 @@
-//! The network between routers and one server: every connection passes through a proxy that can withhold what is sent.
-//! Nobody is told of a silence: connections stay open, new ones come up, and what is written is accepted.
+//! The network between routers and one server: a proxy for each connection that can withhold what is sent. Silence
+//! shows in no error: connections stay open, new ones are accepted, and so is what is written.
 //!
-//! Two things can hold up what a router sends, and they differ in what a reset takes back:
+//! Two faults withhold what a router sends. They differ in what a reset by the router discards:
 //!
-//! - **The way is cut.** Nothing reaches the server's machine: the page's "when a machine vanishes or is cut off, nothing is
-//!   said". What is under way when the router resets the connection is lost, and is delivered late otherwise.
-//! - **The server's process stands still.** Its machine's kernel accepts and acknowledges what comes, and the process reads
-//!   all of it when it goes on, then the reset: a reset takes back nothing that the kernel has. `router/tests/stopped_process.rs`
-//!   shows that with a real process and real sockets.
+//! - **Network silence.** Nothing reaches the server's machine: the specification's "when a machine vanishes or is
+//!   cut off, nothing is said". Bytes in transit are lost if the router resets the connection, and delivered late
+//!   otherwise.
+//! - **Stopped server process.** The machine's kernel still accepts and acknowledges bytes. When the process
+//!   continues, it reads all of them, and then the reset: a reset discards nothing that the kernel has.
+//!   `router/tests/stopped_process.rs` shows this with a real process and real sockets.
 //!
-//! The proxy reads from the router in both cases, as the sockets of a router take what is written.
+//! The proxy reads from the router in both cases, since a router's sockets accept what is written.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -22,42 +23,42 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Bytes that are moved at once.
-const PIECE: usize = 8 * 1024;
-/// Bytes withheld from a server at most; a router's write waits after that.
-const MOST_WITHHELD: usize = 512 * 1024;
-/// What a silence says in parts of a thousand.
-const WHOLE: u32 = 1_000;
+/// Size of a read.
+const READ_BYTES: usize = 8 * 1024;
+/// Maximum number of bytes withheld from a server. The proxy then stops reading, and the router's writes block.
+const MAX_WITHHELD_BYTES: usize = 512 * 1024;
+/// Shares of silent connections are given per mille.
+const PER_MILLE: u32 = 1_000;
 
-/// A server that fell silent has been found out after this.
+/// Time after which a router should have detected that a server is silent.
 pub const SILENCE_DETECTION_TIME: Duration = Duration::from_millis(300);
 
-/// A silence that goes on.
+/// A silence in progress.
 #[derive(Clone, Copy, Debug)]
 struct Silence {
     number: u64,
     since: Instant,
-    /// So many connections of a thousand are silent.
+    /// Share of the connections that are silent.
     per_mille: u32,
-    /// Connections stay silent after its end.
-    lasting: bool,
+    /// The silent connections stay silent after its end.
+    permanent: bool,
 }
 
-/// How a silence ends for connections that are still open.
+/// What happens to silent connections when the silence ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SilenceEnd {
-    /// They are reset.
+    /// All connections are reset.
     Reset,
     /// They stay silent.
-    Never,
+    StaySilent,
 }
 
-/// A call that was sent on a silent connection.
+/// A call sent on a silent connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SilencedCall {
-    /// When its first byte came.
+    /// When its first byte was sent.
     pub sent_at: Instant,
-    /// How long after the silence had begun.
+    /// Time since the start of the silence.
     pub since_silence: Duration,
 }
 
@@ -65,7 +66,7 @@
 pub struct Network {
     seed: u64,
     silence: watch::Sender<Option<Silence>>,
-    /// So many stops of the server's process go on now.
+    /// Number of stops of the server's process in progress.
     stops: watch::Sender<u32>,
     resets: watch::Sender<u64>,
     silences: AtomicU64,
@@ -73,12 +74,12 @@
     silenced_calls: Mutex<Vec<SilencedCall>>,
 }
 
-fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Network {
-    /// A network on which everything passes.
+    /// A network without faults.
     pub fn new(seed: u64) -> Arc<Self> {
         Arc::new(Network {
             seed,
@@ -91,11 +92,11 @@
         })
     }
 
-    /// So many connections of a thousand, old and new, fall silent for this time.
+    /// Silences this share of the connections, old and new, for this time.
     pub async fn fall_silent(&self, per_mille: u32, time: Duration, end: SilenceEnd) {
         let number = self.silences.fetch_add(1, Ordering::Relaxed);
-        let (since, lasting) = (Instant::now(), end == SilenceEnd::Never);
-        self.silence.send_replace(Some(Silence { number, since, per_mille, lasting }));
+        let (since, permanent) = (Instant::now(), end == SilenceEnd::StaySilent);
+        self.silence.send_replace(Some(Silence { number, since, per_mille, permanent }));
         tokio::time::sleep(time).await;
         if end == SilenceEnd::Reset {
             self.reset();
@@ -103,15 +104,15 @@
         self.silence.send_replace(None);
     }
 
-    /// The server's process stands still for this time; its machine goes on accepting what comes.
+    /// Stops the server's process for this time. The machine still accepts bytes.
     pub async fn stop_process(&self, time: Duration) {
         self.stops.send_modify(|stops| *stops += 1);
         tokio::time::sleep(time).await;
         self.stops.send_modify(|stops| *stops -= 1);
     }
 
-    /// Returns while the server's process runs.
-    pub async fn process_runs(&self) {
+    /// Waits until the server's process runs.
+    pub async fn wait_process_running(&self) {
         let _ = self.stops.subscribe().wait_for(|stops| *stops == 0).await;
     }
 
@@ -120,155 +121,155 @@
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Calls that were sent on silent connections so far.
+    /// Calls sent on silent connections so far.
     pub fn silenced_calls(&self) -> Vec<SilencedCall> {
         locked(&self.silenced_calls).clone()
     }
 
-    /// A new connection.
+    /// Adds a new connection.
     pub fn connection(self: &Arc<Self>) -> Arc<Connection> {
         Arc::new(Connection {
             number: self.connections.fetch_add(1, Ordering::Relaxed),
             resets_before: *self.resets.borrow(),
             network: self.clone(),
-            stuck: AtomicBool::new(false),
-            cut: watch::Sender::new(false),
-            passed_on: watch::Sender::new(0),
-            sent: Mutex::default(),
-            closed: Mutex::default(),
+            permanently_silent: AtomicBool::new(false),
+            reset_requested: watch::Sender::new(false),
+            forwarded: watch::Sender::new(0),
+            send_times: Mutex::default(),
+            closed_at: Mutex::default(),
         })
     }
 }
 
-/// One connection between a router and the server.
+/// A connection between a router and the server.
 pub struct Connection {
     network: Arc<Network>,
     number: u64,
-    /// Resets of all connections before it came up.
+    /// Number of network-wide resets before the connection began.
     resets_before: u64,
-    /// It fell silent for ever.
-    stuck: AtomicBool,
-    cut: watch::Sender<bool>,
-    /// Bytes that were passed on to the router.
-    passed_on: watch::Sender<u64>,
-    /// When the router sent the request that is under way.
-    sent: Mutex<Option<Sent>>,
-    /// When the server's machine learnt that the router had ended its sending, or reset the connection.
-    closed: Mutex<Option<Instant>>,
+    /// Silent until the end of the run.
+    permanently_silent: AtomicBool,
+    reset_requested: watch::Sender<bool>,
+    /// Bytes forwarded to the router.
+    forwarded: watch::Sender<u64>,
+    /// When the router sent the current request.
+    send_times: Mutex<Option<SendTimes>>,
+    /// When the server's machine learned that the router had shut down or reset the connection.
+    closed_at: Mutex<Option<Instant>>,
 }
 
-/// What a router has done to its side of a connection.
+/// State of the router's side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sending {
-    /// It may send more.
+enum RouterSide {
+    /// The router may send more.
     Open,
-    /// It has ended its sending in order.
-    Ended,
-    /// It has reset the connection.
+    /// The router has shut down its write side.
+    ShutDown,
+    /// The router has reset the connection.
     Reset,
 }
 
-/// How the way towards a server came to its end.
+/// How forwarding to the server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TowardsServer {
-    /// The router ended its sending, and the server knows.
-    SendingEnded,
-    /// The connection is over.
-    Over,
+enum ForwardEnd {
+    /// The router shut down its write side, and the server was told.
+    RouterShutDown,
+    /// The connection ended.
+    ConnectionEnded,
 }
 
-/// What one look at a router's side found.
-enum Read {
+/// Result of one read from a router.
+enum ReadResult {
     Nothing,
     Bytes(usize),
     End,
     Reset,
 }
 
-/// Reads what a router has sent, if anything. `failed`: its socket reported an error.
-fn read_piece(
+/// Reads available bytes from a router. `failed`: the socket reported an error.
+fn read_available(
     router: &tokio::net::tcp::ReadHalf<'_>,
-    sending: Sending,
+    router_side: RouterSide,
     failed: bool,
-    piece: &mut [u8],
-) -> Read {
-    if failed || sending == Sending::Ended {
-        return Read::Reset;
+    buffer: &mut [u8],
+) -> ReadResult {
+    if failed || router_side == RouterSide::ShutDown {
+        return ReadResult::Reset;
     }
-    match router.try_read(piece) {
-        Ok(0) => Read::End,
-        Ok(size) => Read::Bytes(size),
-        Err(error) if error.kind() == ErrorKind::WouldBlock => Read::Nothing,
-        Err(_) => Read::Reset,
+    match router.try_read(buffer) {
+        Ok(0) => ReadResult::End,
+        Ok(size) => ReadResult::Bytes(size),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => ReadResult::Nothing,
+        Err(_) => ReadResult::Reset,
     }
 }
 
 /// When a router sent a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    /// Its first byte.
+pub struct SendTimes {
+    /// Time of the first byte.
     pub first: Instant,
-    /// Its last byte, so far.
+    /// Time of the latest byte so far.
     pub last: Instant,
 }
 
 impl Connection {
-    /// Resets it.
+    /// Resets the connection.
     pub fn reset(&self) {
-        self.cut.send_replace(true);
+        self.reset_requested.send_replace(true);
     }
 
-    /// Bytes that were passed on to the router so far.
-    pub fn passed_on(&self) -> u64 {
-        *self.passed_on.borrow()
+    /// Number of bytes forwarded to the router so far.
+    pub fn forwarded(&self) -> u64 {
+        *self.forwarded.borrow()
     }
 
-    /// Returns when so many bytes were passed on to the router.
-    pub async fn has_passed_on(&self, bytes: u64) {
-        let _ = self.passed_on.subscribe().wait_for(|passed_on| *passed_on >= bytes).await;
+    /// Waits until this many bytes were forwarded to the router.
+    pub async fn wait_forwarded(&self, bytes: u64) {
+        let _ = self.forwarded.subscribe().wait_for(|forwarded| *forwarded >= bytes).await;
     }
 
-    /// When the router sent what the server takes now.
-    pub fn take_sent(&self) -> Option<Sent> {
-        locked(&self.sent).take()
+    /// Takes the send times of the current request.
+    pub fn take_send_times(&self) -> Option<SendTimes> {
+        locked(&self.send_times).take()
     }
 
-    /// When the server's machine learnt that the router had ended its sending, or reset the connection.
+    /// When the server's machine learned that the router had shut down or reset the connection.
     pub fn closed_by_router(&self) -> Option<Instant> {
-        *locked(&self.closed)
+        *locked(&self.closed_at)
     }
 
-    /// The silence that it is under; none if what is sent passes.
-    fn silence(&self, now: Option<Silence>) -> Option<Silence> {
-        let silence = now?;
+    /// The silence that affects this connection, if any.
+    fn active_silence(&self, current: Option<Silence>) -> Option<Silence> {
+        let silence = current?;
         let mut rng = Pcg64::seed_from_u64(self.network.seed ^ (silence.number << 32) ^ self.number);
-        (rng.random_range(0..WHOLE) < silence.per_mille).then_some(silence)
+        (rng.random_range(0..PER_MILLE) < silence.per_mille).then_some(silence)
     }
 
-    fn is_silent(&self, now: Option<Silence>) -> bool {
-        let silence = self.silence(now);
-        if silence.is_some_and(|silence| silence.lasting) {
-            self.stuck.store(true, Ordering::Relaxed);
+    fn is_silent(&self, current: Option<Silence>) -> bool {
+        let silence = self.active_silence(current);
+        if silence.is_some_and(|silence| silence.permanent) {
+            self.permanently_silent.store(true, Ordering::Relaxed);
         }
-        silence.is_some() || self.stuck.load(Ordering::Relaxed)
+        silence.is_some() || self.permanently_silent.load(Ordering::Relaxed)
     }
 
-    /// Returns while what the server sends reaches the router; never, once the connection was reset.
-    pub async fn passes(&self) {
-        self.network.process_runs().await;
-        self.way_is_open().await;
+    /// Waits until the server's bytes reach the router; forever once the connection was reset.
+    pub async fn wait_delivery(&self) {
+        self.network.wait_process_running().await;
+        self.wait_no_silence().await;
         if *self.network.resets.borrow() != self.resets_before {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Notes when a request is sent, and whether it is swallowed.
-    fn note_sent(&self, piece: &[u8]) {
+    /// Records the send time of a request, and whether the connection is silent.
+    fn record_sent(&self, buffer: &[u8]) {
         let now = Instant::now();
-        let before = locked(&self.sent).take();
+        let before = locked(&self.send_times).take();
         let first = before.map_or(now, |sent| sent.first);
-        *locked(&self.sent) = Some(Sent { first, last: now });
-        if before.is_some() || !piece.starts_with(b"POST") {
+        *locked(&self.send_times) = Some(SendTimes { first, last: now });
+        if before.is_some() || !buffer.starts_with(b"POST") {
             return;
         }
         let silence = *self.network.silence.borrow();
@@ -278,23 +279,24 @@
         }
     }
 
-    /// Carries bytes between a router and the server until one of them ends the connection, or it is reset.
-    pub async fn carry(self: Arc<Self>, mut router: TcpStream, server: DuplexStream) {
-        let (mut resets, mut cut) = (self.network.resets.subscribe(), self.cut.subscribe());
+    /// Forwards bytes in both directions until one side ends the connection, or it is reset.
+    pub async fn proxy(self: Arc<Self>, mut router: TcpStream, server: DuplexStream) {
+        let (mut resets, mut reset_requested) =
+            (self.network.resets.subscribe(), self.reset_requested.subscribe());
         let reset = {
             let (from_router, to_router) = router.split();
             let (from_server, to_server) = tokio::io::split(server);
-            let towards = async {
-                if self.towards_server(from_router, to_server).await == TowardsServer::SendingEnded {
-                    // The server ends the connection.
+            let to_server_side = async {
+                if self.forward_to_server(from_router, to_server).await == ForwardEnd::RouterShutDown {
+                    // The server's side ends the connection.
                     std::future::pending::<()>().await;
                 }
             };
             tokio::select! {
                 _ = resets.changed() => true,
-                _ = cut.wait_for(|cut| *cut) => true,
-                () = towards => false,
-                () = self.towards_router(from_server, to_router) => false,
+                _ = reset_requested.wait_for(|requested| *requested) => true,
+                () = to_server_side => false,
+                () = self.forward_to_router(from_server, to_router) => false,
             }
         };
         if reset {
@@ -302,92 +304,92 @@
         }
     }
 
-    /// Carries what the router sends to the server's machine, and from there to its process.
-    async fn towards_server(
+    /// Forwards the router's bytes to the server's machine, and from there to the server's process.
+    async fn forward_to_server(
         &self,
         router: tokio::net::tcp::ReadHalf<'_>,
         mut server: tokio::io::WriteHalf<DuplexStream>,
-    ) -> TowardsServer {
-        // What has not reached the machine, and what its process has not read.
-        let (mut under_way, mut received) = (Vec::new(), Vec::new());
-        let mut sending = Sending::Open;
-        let mut piece = vec![0; PIECE];
+    ) -> ForwardEnd {
+        // Bytes that have not reached the machine, and bytes that the process has not read.
+        let (mut in_transit, mut received) = (Vec::new(), Vec::new());
+        let mut router_side = RouterSide::Open;
+        let mut buffer = vec![0; READ_BYTES];
         loop {
-            let wanted = if sending == Sending::Open { Interest::READABLE } else { Interest::ERROR };
-            let has_room = under_way.len() + received.len() < MOST_WITHHELD;
+            let interest = if router_side == RouterSide::Open { Interest::READABLE } else { Interest::ERROR };
+            let has_room = in_transit.len() + received.len() < MAX_WITHHELD_BYTES;
             tokio::select! {
-                // Behind the end of its sending nothing can be read, but a reset is still told.
-                ready = router.ready(wanted), if sending != Sending::Reset && (sending == Sending::Ended || has_room) => {
-                    match read_piece(&router, sending, ready.is_err(), &mut piece) {
-                        Read::Nothing => {}
-                        Read::Bytes(size) => {
-                            self.note_sent(&piece[..size]);
-                            under_way.extend_from_slice(&piece[..size]);
+                // After the router's shutdown no bytes can follow, but a reset still can.
+                ready = router.ready(interest), if router_side != RouterSide::Reset && (router_side == RouterSide::ShutDown || has_room) => {
+                    match read_available(&router, router_side, ready.is_err(), &mut buffer) {
+                        ReadResult::Nothing => {}
+                        ReadResult::Bytes(size) => {
+                            self.record_sent(&buffer[..size]);
+                            in_transit.extend_from_slice(&buffer[..size]);
                         }
-                        Read::End => sending = Sending::Ended,
-                        Read::Reset => {
-                            // A way that is cut loses what is under way; else it has arrived by now.
+                        ReadResult::End => router_side = RouterSide::ShutDown,
+                        ReadResult::Reset => {
+                            // A silent network loses the bytes in transit; otherwise they have arrived by now.
                             let silence = *self.network.silence.borrow();
                             if self.is_silent(silence) {
-                                under_way.clear();
+                                in_transit.clear();
                             }
-                            sending = Sending::Reset;
-                            self.note_closed();
+                            router_side = RouterSide::Reset;
+                            self.record_closed();
                         }
                     }
                 }
-                () = self.way_is_open(), if !under_way.is_empty() => received.append(&mut under_way),
-                () = self.network.process_runs(), if !received.is_empty() => {
+                () = self.wait_no_silence(), if !in_transit.is_empty() => received.append(&mut in_transit),
+                () = self.network.wait_process_running(), if !received.is_empty() => {
                     if server.write_all(&received).await.is_err() {
-                        return TowardsServer::Over;
+                        return ForwardEnd::ConnectionEnded;
                     }
                     received.clear();
                 }
-                () = self.process_hears_end(sending), if sending != Sending::Open && under_way.is_empty() && received.is_empty() => {
-                    if sending == Sending::Reset {
-                        return TowardsServer::Over;
+                () = self.wait_end_noticed(router_side), if router_side != RouterSide::Open && in_transit.is_empty() && received.is_empty() => {
+                    if router_side == RouterSide::Reset {
+                        return ForwardEnd::ConnectionEnded;
                     }
                     let _ = server.shutdown().await;
-                    return TowardsServer::SendingEnded;
+                    return ForwardEnd::RouterShutDown;
                 }
             }
         }
     }
 
-    /// Returns while no silence is on the way between router and server, in either direction.
-    async fn way_is_open(&self) {
-        let _ = self.network.silence.subscribe().wait_for(|now| !self.is_silent(*now)).await;
+    /// Waits until no silence affects the connection, in either direction.
+    async fn wait_no_silence(&self) {
+        let _ = self.network.silence.subscribe().wait_for(|current| !self.is_silent(*current)).await;
     }
 
-    /// Returns when the server's process can hear that the router has ended or reset the connection.
-    async fn process_hears_end(&self, sending: Sending) {
-        if sending == Sending::Ended {
-            self.way_is_open().await;
-            self.note_closed();
+    /// Waits until the server's process can notice the shutdown or the reset.
+    async fn wait_end_noticed(&self, router_side: RouterSide) {
+        if router_side == RouterSide::ShutDown {
+            self.wait_no_silence().await;
+            self.record_closed();
         }
-        self.network.process_runs().await;
+        self.network.wait_process_running().await;
     }
 
-    /// The server's machine learns that the router has ended its sending or reset the connection.
-    fn note_closed(&self) {
-        locked(&self.closed).get_or_insert_with(Instant::now);
+    /// Records that the server's machine learned of the router's shutdown or reset.
+    fn record_closed(&self) {
+        locked(&self.closed_at).get_or_insert_with(Instant::now);
     }
 
-    /// Returns when the server has ended the connection.
-    async fn towards_router(
+    /// Forwards the server's bytes to the router until the server ends the connection.
+    async fn forward_to_router(
         &self,
         mut server: tokio::io::ReadHalf<DuplexStream>,
         mut router: tokio::net::tcp::WriteHalf<'_>,
     ) {
-        let mut piece = vec![0; PIECE];
+        let mut buffer = vec![0; READ_BYTES];
         loop {
-            let size = server.read(&mut piece).await.unwrap_or(0);
-            self.passes().await;
-            if size == 0 || router.write_all(&piece[..size]).await.is_err() {
+            let size = server.read(&mut buffer).await.unwrap_or(0);
+            self.wait_delivery().await;
+            if size == 0 || router.write_all(&buffer[..size]).await.is_err() {
                 let _ = router.shutdown().await;
                 return;
             }
-            self.passed_on.send_modify(|passed_on| *passed_on += size as u64);
+            self.forwarded.send_modify(|forwarded| *forwarded += size as u64);
         }
     }
 }
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -1,5 +1,5 @@
-//! The rules, each a named check over what clients and servers saw. None of the router's code is asked. A module each for what
-//! they are about.
+//! The rules of a run, each a named check over what clients and servers observed. The checks use no code of the
+//! router. Each submodule has the checks of one subject.
 
 mod answers;
 mod attempts;
@@ -14,15 +14,15 @@
 use crate::limits::LATE_ANSWER_GRACE;
 use crate::plan::Plan;
 use crate::trace::{Observations, RouterEvent};
-use request::{Request, lines};
+use request::{Request, format_trace};
 use std::time::{Duration, Instant};
 
-/// A play in which the harness itself was later than this says nothing of the routers: it is played again, alone.
+/// A run with a higher [`Observations::lateness`] is not judged, and repeated alone.
 pub const MAX_LATENESS: Duration = Duration::from_millis(250);
-/// A process may be held up for so long, and all rules hold.
-const SHORT_HOLD: Duration = Duration::from_millis(150);
-/// A kill is noted before it is done, and a client's connection may be made until then.
-const KILL_SEEN: Duration = Duration::from_millis(100);
+/// A router process that is paused for at most this time must keep all rules.
+const SHORT_PAUSE: Duration = Duration::from_millis(150);
+/// A kill is recorded before it takes effect; a client may still connect for this time.
+const KILL_RECORD_SLACK: Duration = Duration::from_millis(100);
 
 /// The names of all checks.
 pub const CHECKS: [&str; 18] = [
@@ -46,37 +46,40 @@
     "bad_clients_ended",
 ];
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which check.
+    /// The check's name.
     pub check: &'static str,
-    /// What was seen.
+    /// What was observed.
     pub message: String,
-    /// The request's trace, or nothing.
+    /// The lines of the request's event trace; empty if the violation is not about one request.
     pub trace: Vec<String>,
 }
 
-/// All checks over one play. `slack` is what the harness's machine was late by.
+/// Runs all checks over one run.
 pub struct Oracle<'a> {
     seen: &'a Observations,
+    /// The lateness of the harness, added to each limit.
     slack: Duration,
     writers: usize,
     readers: usize,
     requests_per_s: f64,
     budget: Duration,
     release_within: Duration,
-    /// Servers drop repeats of a keyed request for this time.
+    /// Time in which servers drop repeats of a keyed request.
     dedup_window: Duration,
-    /// Running servers leave releases unanswered, though the page says "every worker accepts it and answers 204": a router
-    /// that counts what nobody said that it released is right. What is really held is judged all the same.
+    /// Running servers leave some releases unanswered, although the specification says "every worker accepts it and
+    /// answers 204". A router then rightly counts unconfirmed releases as violations. What readers really hold is
+    /// judged all the same.
     releases_fail: bool,
-    /// Routers that were told to end while their disk failed, or about then: what waits for a disk then is lost.
+    /// Routers that have both a stop and a disk fault in the plan: their ledgers may lose entries that wait for the
+    /// disk.
     disk_failed_at_stop: Vec<usize>,
     violations: Vec<Violation>,
 }
 
-/// Judges what was seen.
+/// Runs all checks over what was observed.
 pub fn judge(seen: &Observations, plan: &Plan) -> Vec<Violation> {
     let mut oracle = Oracle {
         seen,
@@ -95,14 +98,14 @@
         seen.requests.iter().filter_map(|(id, trace)| Request::of(*id, trace)).collect();
     requests.sort_by_key(|request| request.asked);
     for request in &requests {
-        oracle.request(request);
+        oracle.check_request(request);
     }
-    oracle.events(&requests);
-    oracle.slow_start(&requests);
-    oracle.routers();
-    oracle.halves();
-    oracle.rests();
-    oracle.ledgers(&requests);
+    oracle.check_events(&requests);
+    oracle.check_slow_start(&requests);
+    oracle.check_routers();
+    oracle.check_partial_requests();
+    oracle.check_idle_routers();
+    oracle.check_ledgers(&requests);
     oracle.violations
 }
 
@@ -118,60 +121,70 @@
 }
 
 impl Oracle<'_> {
-    fn broken(&mut self, check: &'static str, message: String, request: Option<&Request>) {
-        let trace = request.map(|request| lines(request)).unwrap_or_default();
+    fn report(&mut self, check: &'static str, message: String, request: Option<&Request>) {
+        let trace = request.map(|request| format_trace(request)).unwrap_or_default();
         let message = request.map_or(message.clone(), |request| {
             format!("id={:016x} router=n{} {message}", request.id, request.router)
         });
         self.violations.push(Violation { check, message, trace });
     }
 
-    /// What was done to a router.
-    fn done(&self, router: usize) -> &[(Instant, RouterEvent)] {
+    /// The events of a router's process.
+    fn router_events(&self, router: usize) -> &[(Instant, RouterEvent)] {
         self.seen.router_events.get(&router).map_or(&[], Vec::as_slice)
     }
 
-    /// The router was held up for long between these times, or was about to be. The page promises "a router that is held
-    /// up for up to 0.15 s": what the harness stops for longer owes nothing meanwhile.
-    fn held_up(&self, router: usize, from: Instant, until: Instant) -> bool {
-        self.done(router).iter().any(|(at, done)| match done {
-            RouterEvent::Frozen(time) => {
-                *time > SHORT_HOLD && *at < until && *at + *time + LATE_ANSWER_GRACE > from
+    /// Whether a long pause of the router overlaps this time, or the time just before it. The specification covers "a
+    /// router that is held up for up to 0.15 s"; rules do not apply during longer pauses.
+    fn paused_long(&self, router: usize, from: Instant, until: Instant) -> bool {
+        self.router_events(router).iter().any(|(at, event)| match event {
+            RouterEvent::Paused(time) => {
+                *time > SHORT_PAUSE && *at < until && *at + *time + LATE_ANSWER_GRACE > from
             }
             _ => false,
         })
     }
 
-    /// What short holds add to each limit.
-    fn hold_slack(&self, router: usize) -> Duration {
-        let frozen = |done: &RouterEvent| matches!(done, RouterEvent::Frozen(time) if *time <= SHORT_HOLD);
-        if self.done(router).iter().any(|(_, done)| frozen(done)) { SHORT_HOLD } else { Duration::ZERO }
+    /// Time that short pauses add to each limit.
+    fn pause_slack(&self, router: usize) -> Duration {
+        let short_pause =
+            |event: &RouterEvent| matches!(event, RouterEvent::Paused(time) if *time <= SHORT_PAUSE);
+        if self.router_events(router).iter().any(|(_, event)| short_pause(event)) {
+            SHORT_PAUSE
+        } else {
+            Duration::ZERO
+        }
     }
 
-    /// The router was killed between these times, and owes no answer for what came then: nobody had told it to end.
+    /// Whether the router was killed between these times without a SIGTERM before, and so owes no answer.
     ///
-    /// The page, of a planned restart: "what it had taken and not answered is lost, as is what SIGKILL finds unanswered,
-    /// if that request came more than 0.7 s after SIGTERM". What came earlier has had its deadline by then. So a kill
-    /// after SIGTERM frees nothing; one without it is a process that died, and its clients see their connections reset.
+    /// The specification says of a planned restart: "what it had taken and not answered is lost, as is what SIGKILL
+    /// finds unanswered, if that request came more than 0.7 s after SIGTERM". Earlier requests have reached their
+    /// deadlines by then, so a kill after SIGTERM excuses nothing. A kill without SIGTERM is a crash, and resets the
+    /// clients' connections.
     fn killed(&self, router: usize, asked: Instant, until: Instant) -> bool {
-        let done = self.done(router);
-        done.iter().enumerate().any(|(place, (at, what))| {
-            let mut life = done[..place].iter().rev().take_while(|(_, done)| *done != RouterEvent::Started);
-            let told = life.any(|(_, done)| *done == RouterEvent::Told);
-            *what == RouterEvent::Killed && *at + KILL_SEEN >= asked && *at <= until + KILL_SEEN && !told
+        let events = self.router_events(router);
+        events.iter().enumerate().any(|(index, (at, event))| {
+            let mut process_events =
+                events[..index].iter().rev().take_while(|(_, event)| *event != RouterEvent::Started);
+            let sigterm_sent = process_events.any(|(_, event)| *event == RouterEvent::SigtermSent);
+            *event == RouterEvent::SigkillSent
+                && *at + KILL_RECORD_SLACK >= asked
+                && *at <= until + KILL_RECORD_SLACK
+                && !sigterm_sent
         })
     }
 
-    /// A server was in fault between these times.
-    fn in_trouble(&self, worker: usize, from: Instant, until: Instant) -> bool {
+    /// Whether a fault of the server overlaps this time.
+    fn had_fault(&self, worker: usize, from: Instant, until: Instant) -> bool {
         let spans = self.seen.worker_faults.get(&worker).map_or(&[][..], Vec::as_slice);
         spans.iter().any(|(begun, ended)| *begun < until && *ended + Duration::from_millis(100) > from)
     }
 
-    fn request(&mut self, request: &Request) {
-        self.answered(request);
-        self.attempts(request);
-        self.told_times(request);
-        self.holds(request);
+    fn check_request(&mut self, request: &Request) {
+        self.check_answer(request);
+        self.check_attempts(request);
+        self.check_budgets(request);
+        self.check_leases(request);
     }
 }
--- a/soak/src/oracle/answers.rs
+++ b/soak/src/oracle/answers.rs
@@ -1,4 +1,4 @@
-//! What a client gets: one final answer, in time, and streams that end.
+//! Checks of what a client receives: one final answer, in time, and complete streams.
 
 use super::Oracle;
 use super::request::{Attempt, Request};
@@ -7,21 +7,21 @@
 use std::time::Instant;
 
 impl Oracle<'_> {
-    pub(super) fn answered(&mut self, request: &Request) {
+    pub(super) fn check_answer(&mut self, request: &Request) {
         let Some((at, outcome)) = request.ended else {
-            return self.broken("one_final_answer", "the client never saw its end".to_owned(), Some(request));
+            return self.report("one_final_answer", "the client never saw its end".to_owned(), Some(request));
         };
-        if request.left.is_some() || self.killed(request.router, request.asked, at) {
+        if request.left_at.is_some() || self.killed(request.router, request.asked, at) {
             return;
         }
-        let slack = self.slack + self.hold_slack(request.router);
+        let slack = self.slack + self.pause_slack(request.router);
         match outcome {
             Outcome::Served | Outcome::Answered(_) => {
-                let took = request.head.unwrap_or(at) - request.asked;
+                let took = request.head_at.unwrap_or(at) - request.asked;
                 if took > self.budget + LATE_ANSWER_GRACE + slack
-                    && !self.held_up(request.router, request.asked, at)
+                    && !self.paused_long(request.router, request.asked, at)
                 {
-                    self.broken(
+                    self.report(
                         "answer_in_time",
                         format!("answered after {} ms", took.as_millis()),
                         Some(request),
@@ -29,30 +29,30 @@
                 }
             }
             Outcome::Broken => {
-                let trouble = |attempt: &Attempt| {
-                    let until = attempt.over.map_or(at, |(over, _)| over);
-                    let broke_off = |(_, happened): &(Instant, RequestEvent)| {
-                        *happened == RequestEvent::BrokeOff(attempt.worker)
+                let was_faulty = |attempt: &Attempt| {
+                    let until = attempt.ended.map_or(at, |(ended, _)| ended);
+                    let broke_off = |(_, event): &(Instant, RequestEvent)| {
+                        *event == RequestEvent::BrokeOff(attempt.worker)
                     };
-                    self.in_trouble(attempt.worker, attempt.first, until)
+                    self.had_fault(attempt.worker, attempt.began, until)
                         || request.trace.iter().any(broke_off)
                 };
                 let finished = self.seen.written_tokens.contains_key(&request.id);
-                if finished || !request.attempts.iter().any(trouble) {
+                if finished || !request.attempts.iter().any(was_faulty) {
                     let message = format!(
                         "its stream broke off, its server {}",
                         if finished { "had finished it" } else { "was well" }
                     );
-                    self.broken("stream_ended", message, Some(request));
+                    self.report("stream_ended", message, Some(request));
                 }
             }
-            // It came as the connection ended, and nobody has seen it.
+            // The request arrived while the router closed the idle connection, and was never read.
             Outcome::Closed if !request.fresh && request.attempts.is_empty() => {}
             Outcome::Closed => {
-                self.broken("one_final_answer", "closed with no answer".to_owned(), Some(request))
+                self.report("one_final_answer", "closed with no answer".to_owned(), Some(request))
             }
-            Outcome::Silent if self.held_up(request.router, request.asked, at) => {}
-            Outcome::Silent => self.broken("one_final_answer", "no answer in time".to_owned(), Some(request)),
+            Outcome::Silent if self.paused_long(request.router, request.asked, at) => {}
+            Outcome::Silent => self.report("one_final_answer", "no answer in time".to_owned(), Some(request)),
             Outcome::Left => {}
         }
     }
--- a/soak/src/oracle/leases.rs
+++ b/soak/src/oracle/leases.rs
@@ -1,4 +1,4 @@
-//! What readers hold is let go of in time.
+//! Check that states held by readers are released in time.
 
 use super::Oracle;
 use super::request::{Attempt, Request};
@@ -7,16 +7,16 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What nobody has let go of when a request's trace ends was held for this long at least.
-const REST_SEEN: Duration = Duration::from_secs(4);
+/// A state still held at the end of a request's trace was held for at least this much longer.
+const UNRELEASED_TIME: Duration = Duration::from_secs(4);
 
 impl Oracle<'_> {
-    pub(super) fn holds(&mut self, request: &Request) {
+    pub(super) fn check_leases(&mut self, request: &Request) {
         let mut held: HashMap<usize, Instant> = HashMap::new();
-        let end = request.trace.last().map_or(request.asked, |(at, _)| *at) + REST_SEEN;
+        let end = request.trace.last().map_or(request.asked, |(at, _)| *at) + UNRELEASED_TIME;
         let mut spans = Vec::new();
-        for (at, happened) in request.trace {
-            match happened {
+        for (at, event) in request.trace {
+            match event {
                 RequestEvent::Held(worker) => drop(held.insert(*worker, *at)),
                 RequestEvent::LetGo(worker) => {
                     if let Some(since) = held.remove(worker) {
@@ -28,70 +28,70 @@
         }
         spans.extend(held.into_iter().map(|(worker, since)| (worker, since, end)));
         for (worker, since, until) in spans {
-            // While a running server has an attempt the clock stands; after it the clock begins anew.
+            // The clock pauses while a running server has an attempt, and restarts afterwards.
             let Some((since, until)) = longest_without_attempt(&request.attempts, since, until) else {
                 continue;
             };
-            let long = until - since;
+            let held_for = until - since;
             let limit = self.release_within
                 + LEASE_SLACK
                 + SOCKET_SLACK
                 + self.slack
-                + self.hold_slack(request.router);
-            let free = self.ended(request.router, request.asked, until)
-                || self.ended_by_itself(request.router, since, until)
-                || self.held_up(request.router, since, until);
-            if long > limit && !free {
-                self.broken(
+                + self.pause_slack(request.router);
+            let excused = self.killed_within(request.router, request.asked, until)
+                || self.exited_after_release_time(request.router, since, until)
+                || self.paused_long(request.router, since, until);
+            if held_for > limit && !excused {
+                self.report(
                     "holds_let_go",
-                    format!("held at r{worker} for {} ms", long.as_millis()),
+                    format!("held at r{worker} for {} ms", held_for.as_millis()),
                     Some(request),
                 );
             }
         }
     }
 
-    /// The router's process was killed between these times. The bench's page: "what a stopped instance left is freed some
-    /// seconds later".
-    fn ended(&self, router: usize, from: Instant, until: Instant) -> bool {
-        let killed = |done: &RouterEvent| matches!(done, RouterEvent::Killed);
-        self.done(router).iter().any(|(at, done)| killed(done) && *at >= from && *at <= until)
+    /// Whether the router was killed between these times. The bench's specification: "what a stopped instance left is
+    /// freed some seconds later".
+    fn killed_within(&self, router: usize, from: Instant, until: Instant) -> bool {
+        let killed = |event: &RouterEvent| matches!(event, RouterEvent::SigkillSent);
+        self.router_events(router).iter().any(|(at, event)| killed(event) && *at >= from && *at <= until)
     }
 
-    /// The router's process ended by itself between these times, when it had had the settings' time to let go: "what a stopped
+    /// Whether the router exited by itself between these times, after it had had the release time: "what a stopped
     /// instance left is freed some seconds later".
-    fn ended_by_itself(&self, router: usize, held_since: Instant, until: Instant) -> bool {
+    fn exited_after_release_time(&self, router: usize, held_since: Instant, until: Instant) -> bool {
         let had_time = |at: Instant| at >= held_since + self.release_within && at <= until;
-        self.done(router)
+        self.router_events(router)
             .iter()
-            .any(|(at, done)| matches!(done, RouterEvent::Ended(Some(0))) && had_time(*at))
+            .any(|(at, event)| matches!(event, RouterEvent::Exited(Some(0))) && had_time(*at))
     }
 }
 
-/// The longest time within these times in which no attempt was out at a running server. The page: "a call counts once its
-/// last byte has reached a running worker, answered or not".
+/// The longest part of this time in which no running server had an attempt. The specification: "a call counts once
+/// its last byte has reached a running worker, answered or not".
 fn longest_without_attempt(
     attempts: &[Attempt],
     from: Instant,
     until: Instant,
 ) -> Option<(Instant, Instant)> {
     let mut spans = Vec::new();
-    let mut free = from;
+    let mut free_since = from;
     for attempt in attempts.iter().filter(|attempt| attempt.taken) {
-        let Some(arrived) = attempt.whole else { continue };
-        let over = attempt.over.map_or(until, |(at, _)| at);
-        // Nothing is out whose connection had ended before a running server read it.
-        if over < arrived {
+        let Some(arrived) = attempt.received else { continue };
+        let ended = attempt.ended.map_or(until, |(at, _)| at);
+        // The connection ended before a running server read the attempt.
+        if ended < arrived {
             continue;
         }
-        // What a process took before it stood still it has until it goes on, and nobody can make it let go.
-        let over = attempt.noticed.map_or(over, |noticed| noticed.max(over));
-        if over <= free {
+        // A process that stops after it took the attempt keeps it until it continues, and no release can change that.
+        let ended = attempt.end_noticed.map_or(ended, |noticed| noticed.max(ended));
+        if ended <= free_since {
             continue;
         }
-        spans.push((free, arrived.clamp(free, until)));
-        free = free.max(over).min(until);
+        spans.push((free_since, arrived.clamp(free_since, until)));
+        free_since = free_since.max(ended).min(until);
     }
-    spans.push((free, until));
+    spans.push((free_since, until));
     spans.into_iter().max_by_key(|(from, until)| *until - *from)
 }
--- a/soak/src/oracle/ledgers.rs
+++ b/soak/src/oracle/ledgers.rs
@@ -1,12 +1,12 @@
-//! The routers' ledgers say what servers wrote.
+//! Check that the routers' ledgers match what servers wrote.
 
-use super::request::{Request, lines};
+use super::request::{Request, format_trace};
 use super::{Oracle, Violation};
 use crate::trace::Outcome;
 use std::collections::HashMap;
 
 impl Oracle<'_> {
-    pub(super) fn ledgers(&mut self, requests: &[Request]) {
+    pub(super) fn check_ledgers(&mut self, requests: &[Request]) {
         let mut numbers: Vec<&usize> = self.seen.ledgers.keys().collect();
         numbers.sort();
         for router in numbers {
@@ -21,17 +21,17 @@
             for request in requests.iter().filter(|request| request.router == *router) {
                 let label = format!("{:016x}", request.id);
                 let found = entries.get(label.as_str()).map_or(&[][..], Vec::as_slice);
-                let truth = self.seen.written_tokens.get(&request.id).map(|tokens| *tokens as i64);
+                let expected = self.seen.written_tokens.get(&request.id).map(|tokens| *tokens as i64);
                 let fits = match request.ended {
-                    Some((_, Outcome::Served)) => found == [truth],
+                    Some((_, Outcome::Served)) => found == [expected],
                     _ => found.len() <= 1,
                 };
                 if !fits {
-                    wrong.push((request, format!("the ledger has {found:?}, its server wrote {truth:?}")));
+                    wrong.push((request, format!("the ledger has {found:?}, its server wrote {expected:?}")));
                 }
             }
             for (request, message) in wrong {
-                let trace = lines(request);
+                let trace = format_trace(request);
                 let message = format!("id={:016x} router=n{} {message}", request.id, request.router);
                 self.violations.push(Violation { check: "ledger_equals_truth", message, trace });
             }
--- a/soak/src/oracle/streams.rs
+++ b/soak/src/oracle/streams.rs
@@ -1,4 +1,4 @@
-//! Events are passed on as they come.
+//! Check that events are forwarded as they arrive.
 
 use super::Oracle;
 use super::request::Request;
@@ -7,17 +7,18 @@
 use std::time::Duration;
 
 impl Oracle<'_> {
-    pub(super) fn events(&mut self, requests: &[Request]) {
+    pub(super) fn check_events(&mut self, requests: &[Request]) {
         let (mut streams, mut late) = (0, Vec::new());
         for request in requests {
             let wrote = |number: u32| {
-                let found = request.trace.iter().rev().find(|(_, h)| *h == RequestEvent::Wrote(number));
+                let found =
+                    request.trace.iter().rev().find(|(_, event)| *event == RequestEvent::Wrote(number));
                 found.map(|(at, _)| *at)
             };
             let mut worst = Duration::ZERO;
             let mut events = 0;
-            for (at, happened) in request.trace {
-                if let RequestEvent::Event(number) = happened
+            for (at, event) in request.trace {
+                if let RequestEvent::Event(number) = event
                     && let Some(wrote) = wrote(*number)
                 {
                     worst = worst.max(at.saturating_duration_since(wrote));
@@ -26,7 +27,8 @@
             }
             streams += usize::from(events > 0);
             let until = request.ended.map_or(request.asked, |(at, _)| at);
-            if worst > MAX_EVENT_DELAY + self.slack && !self.held_up(request.router, request.asked, until) {
+            if worst > MAX_EVENT_DELAY + self.slack && !self.paused_long(request.router, request.asked, until)
+            {
                 late.push((request, worst));
             }
         }
@@ -38,7 +40,7 @@
                 late.len(),
                 worst.as_millis()
             );
-            self.broken("events_in_time", message, Some(request));
+            self.report("events_in_time", message, Some(request));
         }
     }
 }
--- a/soak/src/router.rs
+++ b/soak/src/router.rs
@@ -1,4 +1,4 @@
-//! Router processes of the built program: starts, signals, faults of their system calls, and how they are at rest.
+//! Router processes of the built program: starts, signals, system call faults, and figures when no requests are left.
 
 use crate::client::ConnectionChoice;
 use crate::limits::READY_TIMEOUT;
@@ -15,54 +15,54 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-/// After SIGTERM clients come for so long on new connections.
-const STILL_COMING: Duration = Duration::from_millis(300);
-/// How often a router's log and its health are looked at.
-const LOOK: Duration = Duration::from_millis(10);
-/// An answer of the operators' address comes in this time.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Time after SIGTERM in which clients still open new connections.
+const NEW_CONNECTION_TIME: Duration = Duration::from_millis(300);
+/// Interval at which a starting router's log and health are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Timeout of a GET request to the router.
+const GET_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a router cannot be started.
 #[derive(Debug, thiserror::Error)]
 #[error("router {router}: {error}")]
 pub struct StartError {
-    /// Which.
+    /// The router's number.
     pub router: usize,
-    /// What is wrong.
+    /// The cause.
     pub error: std::io::Error,
 }
 
 #[derive(Default)]
-struct State {
+struct ProcessState {
     child: Option<Child>,
-    /// Its process, until it has ended.
+    /// The process, until it has exited.
     pid: Option<Pid>,
-    clients: Option<SocketAddr>,
-    operators: Option<SocketAddr>,
-    /// Clients may come on new connections until then; none for as long as it runs.
-    until: Option<Instant>,
+    client_address: Option<SocketAddr>,
+    operator_address: Option<SocketAddr>,
+    /// End of the time in which clients may open new connections; none until SIGTERM is sent.
+    new_connections_until: Option<Instant>,
     ready: bool,
-    /// It was killed in the middle of its work: its ledger lacks its last moments.
+    /// The process was killed at some time, so that its ledger may lack the last entries.
     killed: bool,
 }
 
-/// One router and its processes, one after the other.
+/// One router and its successive processes.
 pub struct Router {
-    /// Its number.
+    /// The router's number.
     pub number: usize,
-    /// Faults of its system calls.
+    /// Control file of its system call faults.
     pub control: FaultControl,
     program: PathBuf,
     folder: PathBuf,
     seed: u64,
     recorder: Arc<Recorder>,
-    state: Mutex<State>,
-    /// Held by who ends a process and starts the next one.
-    pub turn: tokio::sync::Mutex<()>,
+    state: Mutex<ProcessState>,
+    /// Held while a process is ended and the next one started.
+    pub restart_lock: tokio::sync::Mutex<()>,
 }
 
 impl Router {
-    /// A router with its configuration in a folder of its own; it does not run yet.
+    /// Creates a router's folder and configuration files. No process is started.
     pub fn new(
         number: usize,
         program: &Path,
@@ -88,45 +88,45 @@
             seed,
             recorder,
             state: Mutex::default(),
-            turn: Default::default(),
+            restart_lock: Default::default(),
         }))
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, ProcessState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where a client may ask now, and on which connections: once it was told to end, some time later only on those
-    /// that are open.
-    pub fn takes(&self) -> Option<(SocketAddr, ConnectionChoice)> {
+    /// The address for clients, and which connections they may use, if the router is ready. Some time after SIGTERM
+    /// only open connections may be used.
+    pub fn client_access(&self) -> Option<(SocketAddr, ConnectionChoice)> {
         let state = self.state();
-        let still = state.until.is_none_or(|until| Instant::now() < until);
-        let takes = if still { ConnectionChoice::Kept } else { ConnectionChoice::OnlyKept };
-        state.clients.filter(|_| state.ready).map(|at| (at, takes))
+        let new_allowed = state.new_connections_until.is_none_or(|until| Instant::now() < until);
+        let choice = if new_allowed { ConnectionChoice::Idle } else { ConnectionChoice::OnlyIdle };
+        state.client_address.filter(|_| state.ready).map(|at| (at, choice))
     }
 
-    /// It was killed at some time.
+    /// Whether one of its processes was killed.
     pub fn was_killed(&self) -> bool {
         self.state().killed
     }
 
-    /// Its ledger's folder.
-    pub fn usage(&self) -> PathBuf {
+    /// The ledger's folder.
+    pub fn ledger_folder(&self) -> PathBuf {
         self.folder.join("usage")
     }
 
-    fn log(&self) -> PathBuf {
+    fn log_path(&self) -> PathBuf {
         self.folder.join("log")
     }
 
-    /// Lines of its log that tell of a panic or a violation of a rule.
+    /// Lines of its log that report a panic or an invariant violation.
     pub fn alarms(&self) -> Vec<String> {
-        let text = std::fs::read_to_string(self.log()).unwrap_or_default();
+        let text = std::fs::read_to_string(self.log_path()).unwrap_or_default();
         let alarming = |line: &&str| line.contains("panicked") || line.contains("invariant violated");
         text.lines().filter(alarming).map(|line| format!("n{}: {line}", self.number)).collect()
     }
 
-    /// Starts a process with this configuration and waits until it is ready.
+    /// Starts a process with this configuration, and waits until it is ready.
     pub async fn start(&self, config: &str) -> Result<(), StartError> {
         let written = std::fs::write(self.folder.join("config.json"), config);
         written.map_err(|error| StartError { router: self.number, error })?;
@@ -139,34 +139,34 @@
                 self.recorder.record_router(self.number, RouterEvent::Ready);
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.recorder.record_router(self.number, RouterEvent::NotReady);
         Ok(())
     }
 
     fn spawn(&self) -> std::io::Result<()> {
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log())?;
-        let from = log.metadata()?.len();
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_path())?;
+        let log_start = log.metadata()?.len();
         let mut command = std::process::Command::new(&self.program);
         command.env_clear().env("PROXY_CONFIG", self.folder.join("config.json"));
         command.arg("--ledger").arg(self.folder.join("ledger.toml"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        self.control.preload(&mut command, self.seed, Some(&self.usage()));
+        self.control.preload(&mut command, self.seed, Some(&self.ledger_folder()));
         let child = Command::from(command).kill_on_drop(true).spawn()?;
         let mut state = self.state();
         state.pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
-        (state.child, state.clients, state.operators) = (Some(child), None, None);
-        (state.until, state.ready) = (None, false);
-        std::fs::write(self.folder.join("log-from"), from.to_string())
+        (state.child, state.client_address, state.operator_address) = (Some(child), None, None);
+        (state.new_connections_until, state.ready) = (None, false);
+        std::fs::write(self.folder.join("log-from"), log_start.to_string())
     }
 
-    /// Reads where it listens, and asks whether it is healthy.
+    /// Reads the listening addresses from the log, and asks for the process's health.
     async fn is_ready(&self) -> bool {
-        let from = std::fs::read_to_string(self.folder.join("log-from")).unwrap_or_default();
-        let text = std::fs::read(self.log()).unwrap_or_default();
-        let text =
-            String::from_utf8_lossy(text.get(from.parse().unwrap_or(0)..).unwrap_or_default()).into_owned();
+        let log_start = std::fs::read_to_string(self.folder.join("log-from")).unwrap_or_default();
+        let text = std::fs::read(self.log_path()).unwrap_or_default();
+        let text = String::from_utf8_lossy(text.get(log_start.parse().unwrap_or(0)..).unwrap_or_default())
+            .into_owned();
         let address = |what: &str| {
             let line = text.lines().find(|line| line.contains(what))?;
             line.split("listen=").nth(1)?.split(' ').next()?.parse().ok()
@@ -177,7 +177,7 @@
         };
         {
             let mut state = self.state();
-            (state.clients, state.operators) = (Some(clients), Some(operators));
+            (state.client_address, state.operator_address) = (Some(clients), Some(operators));
         }
         get(clients, "/healthz").await.is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
     }
@@ -189,20 +189,20 @@
         }
     }
 
-    /// SIGHUP.
+    /// Sends SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Holds it up for so long.
+    /// Stops the process with SIGSTOP for this time.
     pub async fn freeze(&self, time: Duration) {
-        self.recorder.record_router(self.number, RouterEvent::Frozen(time));
+        self.recorder.record_router(self.number, RouterEvent::Paused(time));
         self.signal(Signal::STOP);
         tokio::time::sleep(time).await;
         self.signal(Signal::CONT);
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL.
     pub async fn kill(&self) {
         let child = {
             let mut state = self.state();
@@ -210,38 +210,39 @@
             state.child.take()
         };
         if let Some(mut child) = child {
-            self.recorder.record_router(self.number, RouterEvent::Killed);
+            self.recorder.record_router(self.number, RouterEvent::SigkillSent);
             let _ = child.kill().await;
             self.state().pid = None;
         }
     }
 
-    /// SIGTERM; SIGKILL if it has not ended after this time. `then`: further signals, so far apart.
+    /// Sends SIGTERM, and SIGKILL if the process has not exited after `kill_after`. `then`: signals in between, each
+    /// after a pause.
     pub async fn stop(&self, kill_after: Duration, then: &[(Duration, Signal)]) {
         self.signal(Signal::TERM);
-        self.recorder.record_router(self.number, RouterEvent::Told);
+        self.recorder.record_router(self.number, RouterEvent::SigtermSent);
         let kill_at = Instant::now() + kill_after;
         let child = {
             let mut state = self.state();
-            state.until = Some(Instant::now() + STILL_COMING);
+            state.new_connections_until = Some(Instant::now() + NEW_CONNECTION_TIME);
             state.child.take()
         };
         let Some(mut child) = child else { return };
         for (pause, signal) in then {
             tokio::time::sleep(*pause).await;
-            // A process that has ended and was not waited for yet keeps its number.
+            // The pid of a process that has exited stays valid until it is waited for.
             self.signal(*signal);
         }
         match tokio::time::timeout_at(kill_at.into(), child.wait()).await {
             Ok(status) => {
                 self.recorder.record_router(
                     self.number,
-                    RouterEvent::Ended(status.ok().and_then(|status| status.code())),
+                    RouterEvent::Exited(status.ok().and_then(|status| status.code())),
                 );
             }
             Err(_) => {
                 self.state().killed = true;
-                self.recorder.record_router(self.number, RouterEvent::Killed);
+                self.recorder.record_router(self.number, RouterEvent::SigkillSent);
                 let _ = child.kill().await;
             }
         }
@@ -249,18 +250,18 @@
         (state.ready, state.pid) = (false, None);
     }
 
-    /// Whether its process has ended though nobody told it to.
-    pub fn died(&self) -> Option<Option<i32>> {
+    /// The exit code if the process has exited by itself.
+    pub fn exit_code(&self) -> Option<Option<i32>> {
         let mut state = self.state();
         let status = state.child.as_mut()?.try_wait().ok()??;
         Some(status.code())
     }
 
-    /// How it is at rest.
-    pub async fn rest(&self) -> Option<IdleRouter> {
+    /// Figures of the process; none if it cannot be asked.
+    pub async fn idle_figures(&self) -> Option<IdleRouter> {
         let (pid, operators) = {
             let state = self.state();
-            (state.child.as_ref()?.id()?, state.operators?)
+            (state.child.as_ref()?.id()?, state.operator_address?)
         };
         let answer = get(operators, "/status/metrics").await?;
         let mut metrics = BTreeMap::new();
@@ -279,16 +280,16 @@
         Some(IdleRouter { router: self.number, descriptors, memory_kb: memory?, metrics })
     }
 
-    /// So many of a thousand calls fail from now on.
-    pub fn fail(&self, call: FaultKind, per_mille: u32) {
-        // A page that cannot be written is told by the play's own counts.
+    /// Sets the failure rate of a system call.
+    pub fn set_fault_rate(&self, call: FaultKind, per_mille: u32) {
+        // A control file that cannot be written shows in the run's own counts.
         let _ = self.control.set_rate(call, per_mille);
     }
 }
 
-/// An answer to a GET, whole.
+/// The whole answer to a GET request.
 async fn get(at: SocketAddr, path: &str) -> Option<String> {
-    let asked = async {
+    let answer = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
         let text = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         stream.write_all(text.as_bytes()).await.ok()?;
@@ -296,5 +297,5 @@
         stream.read_to_string(&mut answer).await.ok()?;
         Some(answer)
     };
-    tokio::time::timeout(ANSWER, asked).await.ok()?
+    tokio::time::timeout(GET_TIMEOUT, answer).await.ok()?
 }
--- a/soak/src/trace.rs
+++ b/soak/src/trace.rs
@@ -1,5 +1,5 @@
-//! What clients and servers saw of each request, and what was done to routers and servers. All times are the harness's
-//! own monotonic clock.
+//! Event traces: what clients and servers observed of each request, and what was done to routers and servers. All
+//! times come from the harness's own monotonic clock.
 
 use crate::class::Class;
 use crate::network::SilencedCall;
@@ -10,201 +10,202 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole stream.
+    /// A complete stream.
     Served,
     /// An answer without a stream, by its status.
     Answered(u16),
-    /// A stream that broke off.
+    /// An incomplete stream or answer.
     Broken,
-    /// The connection ended with no answer.
+    /// The connection closed without an answer.
     Closed,
-    /// Nothing came in time.
+    /// No answer in time.
     Silent,
-    /// The client left.
+    /// The client closed the connection.
     Left,
 }
 
-/// What an attempt did to its server.
+/// Whether an attempt ran at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// The server turned it away, or never had its last byte.
+    /// The server rejected it, or never received its last byte.
     No,
-    /// It was begun.
+    /// It began to run.
     Yes,
 }
 
-/// Something that happened to a request.
+/// An event of a request. Traces print variants and fields by their names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEvent {
-    /// Its client wrote its last byte.
+    /// The client wrote the last byte of the request.
     Asked {
-        /// To this router.
+        /// The router that received it.
         router: usize,
-        /// Its class.
+        /// The request's class.
         class: Class,
-        /// On a connection that was never used before.
+        /// The connection was new.
         fresh: bool,
     },
-    /// Its client closed the connection.
+    /// The client closed the connection.
     Left,
-    /// The head of its answer came.
+    /// The client received the head of the answer, with this status.
     Head(u16),
-    /// An event of its answer came.
+    /// The client received the answer's event of this number.
     Event(u32),
-    /// It ended for its client.
+    /// The request ended for its client.
     Ended(Outcome),
-    /// A server had the first byte of an attempt.
+    /// A server received the first byte of an attempt.
     First {
         /// The attempt's number.
         attempt: u64,
-        /// The server.
+        /// The server's number.
         worker: usize,
     },
-    /// It had the last byte.
+    /// A server received the last byte of an attempt.
     Whole {
         /// The attempt's number.
         attempt: u64,
-        /// The server.
+        /// The server's number.
         worker: usize,
-        /// The time that it was told.
+        /// The time left, as told to the server.
         budget: Option<Duration>,
-        /// When the router had sent it.
+        /// When the router sent the last byte.
         sent: Instant,
-        /// The server was running: it did not hang.
+        /// The server's process was running, so that it took the request.
         taken: bool,
     },
-    /// A server wrote an event.
+    /// A server wrote the event of this number.
     Wrote(u32),
-    /// An attempt was over: answered, turned away, or its connection had ended.
+    /// An attempt ended: answered, rejected, or its connection ended.
     Over {
         /// The attempt's number.
         attempt: u64,
-        /// The server.
+        /// The server's number.
         worker: usize,
-        /// Whether it took effect.
+        /// Whether it ran.
         ran: Ran,
     },
-    /// A running server saw that the connection of an attempt had ended.
+    /// A running server noticed that an attempt's connection had ended.
     Noticed {
         /// The attempt's number.
         attempt: u64,
     },
-    /// A reader holds a state for it.
+    /// This reader holds a state for the request.
     Held(usize),
-    /// That state is gone: fetched, released, or lost with its process.
+    /// This reader no longer holds it: fetched, released, or lost with its process.
     LetGo(usize),
-    /// A release was worked on that let go of nothing, since an attempt waited.
+    /// A release freed nothing, since an attempt was waiting for the state.
     ReleasedInVain,
     /// This server broke its stream off.
     BrokeOff(usize),
 }
 
-/// Something that was done to a router.
+/// An event of a router's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouterEvent {
-    /// A process was started.
+    /// The process was started.
     Started,
-    /// It said that it takes clients.
+    /// It reported that it is healthy.
     Ready,
-    /// It was not ready in time.
+    /// It was not healthy in time.
     NotReady,
-    /// SIGTERM.
-    Told,
-    /// SIGKILL.
-    Killed,
-    /// It ended by itself, with this code.
-    Ended(Option<i32>),
-    /// It was held up for so long.
-    Frozen(Duration),
+    /// SIGTERM was sent.
+    SigtermSent,
+    /// SIGKILL was sent.
+    SigkillSent,
+    /// It exited, with this code.
+    Exited(Option<i32>),
+    /// It was stopped with SIGSTOP for this time.
+    Paused(Duration),
 }
 
-/// A client that sent half a request, and how long it had to wait for an error or a close; none if it gave up.
+/// A client that sent part of a request and waited for an error or a close.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartialRequest {
-    /// The router.
+    /// The router's number.
     pub router: usize,
-    /// When it had sent its half.
+    /// When the client had sent its part.
     pub at: Instant,
-    /// How long it waited.
+    /// How long it waited; none if it gave up.
     pub waited: Option<Duration>,
 }
 
-/// Figures of a router's process when all has come to rest.
+/// Figures of a router's process when no requests are left.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdleRouter {
-    /// The router.
+    /// The router's number.
     pub router: usize,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
     /// Resident memory, in kB.
     pub memory_kb: u64,
-    /// Its metrics.
+    /// Metrics by name and labels.
     pub metrics: BTreeMap<String, f64>,
 }
 
-/// A request's story.
+/// The event trace of a request.
 pub type Trace = Vec<(Instant, RequestEvent)>;
 
-/// All that was seen in one play.
+/// All observations of one run.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Each request's story, by its id.
+    /// Event traces by request id.
     pub requests: HashMap<u64, Trace>,
-    /// When each router was told that a server drains or left, and when it was told that it takes work again.
+    /// By router and server: when the router was told that the server takes work (true), or that it drains or left
+    /// (false).
     pub told_status: HashMap<(usize, usize), Vec<(Instant, bool)>>,
-    /// When each router was told of a server's start.
+    /// By router and server: when the router was told that the server's process had started.
     pub told_starts: HashMap<(usize, usize), Vec<Instant>>,
-    /// When servers' processes started, by server.
+    /// Process starts, by server.
     pub starts: HashMap<usize, Vec<Instant>>,
-    /// When servers were in trouble: from, until, by server.
+    /// Start and end of each fault, by server.
     pub worker_faults: HashMap<usize, Vec<(Instant, Instant)>>,
-    /// Calls that were sent on silent connections, by server.
+    /// Calls sent on silent connections, by server.
     pub silenced_calls: HashMap<usize, Vec<SilencedCall>>,
-    /// What was done to each router.
+    /// Events of each router's process.
     pub router_events: HashMap<usize, Vec<(Instant, RouterEvent)>>,
-    /// Clients that sent partial_requests.
+    /// Clients that sent part of a request.
     pub partial_requests: Vec<PartialRequest>,
-    /// Routers at rest.
+    /// Figures of the routers at the end, with no requests left.
     pub idle_routers: Vec<IdleRouter>,
-    /// Lines of routers' logs that tell of a panic or a violation.
+    /// Lines of the routers' logs that report a panic or an invariant violation, and ledgers that cannot be read.
     pub log_alarms: Vec<String>,
-    /// What each router's ledger holds at the end: label and written tokens.
+    /// Ledger entries at the end, by router: label and written tokens.
     pub ledgers: HashMap<usize, Vec<(String, Option<i64>)>>,
-    /// Tokens that servers wrote, of whole answers.
+    /// Tokens written in complete answers, by request id.
     pub written_tokens: HashMap<u64, u64>,
-    /// How late the harness itself was at the most.
+    /// Maximum delay of the harness's own timers.
     pub lateness: Duration,
 }
 
-/// Where all that happens is noted.
+/// Collects the observations of a run.
 #[derive(Debug, Default)]
 pub struct Recorder(Mutex<Observations>);
 
 impl Recorder {
-    /// Notes something of a request, now.
-    pub fn record(&self, id: u64, happened: RequestEvent) {
-        self.record_at(id, Instant::now(), happened);
+    /// Records an event of a request, at the current time.
+    pub fn record(&self, id: u64, event: RequestEvent) {
+        self.record_at(id, Instant::now(), event);
     }
 
-    /// Notes something of a request.
-    pub fn record_at(&self, id: u64, at: Instant, happened: RequestEvent) {
-        self.with(|seen| seen.requests.entry(id).or_default().push((at, happened)));
+    /// Records an event of a request.
+    pub fn record_at(&self, id: u64, at: Instant, event: RequestEvent) {
+        self.with(|seen| seen.requests.entry(id).or_default().push((at, event)));
     }
 
-    /// Notes what was done to a router, now.
-    pub fn record_router(&self, router: usize, done: RouterEvent) {
-        self.with(|seen| seen.router_events.entry(router).or_default().push((Instant::now(), done)));
+    /// Records an event of a router, at the current time.
+    pub fn record_router(&self, router: usize, event: RouterEvent) {
+        self.with(|seen| seen.router_events.entry(router).or_default().push((Instant::now(), event)));
     }
 
-    /// Does something with all that was seen.
-    pub fn with<T>(&self, done: impl FnOnce(&mut Observations) -> T) -> T {
+    /// Calls `apply` with the observations, under the lock.
+    pub fn with<T>(&self, apply: impl FnOnce(&mut Observations) -> T) -> T {
         match self.0.lock() {
-            Ok(mut seen) => done(&mut seen),
-            Err(poisoned) => done(&mut poisoned.into_inner()),
+            Ok(mut seen) => apply(&mut seen),
+            Err(poisoned) => apply(&mut poisoned.into_inner()),
         }
     }
 
-    /// All that was seen; nothing is left here.
+    /// Takes all observations, and leaves the recorder empty.
     pub fn take(&self) -> Observations {
         self.with(std::mem::take)
     }
--- a/soak/src/worker/attempt.rs
+++ b/soak/src/worker/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt as its server sees it.
+//! An attempt as its server observes it.
 
-use super::{Mode, Role, Worker, Writes};
+use super::{Mode, Role, Worker, WriteSide};
 use crate::http::Request;
 use crate::network::Connection;
 use crate::trace::{Ran, RequestEvent};
@@ -8,17 +8,17 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt as _;
 
-/// One attempt at a server, over at the latest when this goes.
+/// An attempt at a server. It ends at the latest when it is dropped.
 pub(super) struct Attempt<'a> {
     worker: &'a Worker,
     pub(super) connection: &'a Connection,
     id: u64,
     pub(super) number: u64,
-    /// The server was running when it came.
+    /// The server's process was running when the request arrived.
     pub(super) taken: bool,
-    /// Whether it may have taken effect by now.
+    /// Whether it may have had a side effect by now.
     ran: AtomicBool,
-    over: AtomicBool,
+    ended: AtomicBool,
 }
 
 impl<'a> Attempt<'a> {
@@ -30,24 +30,24 @@
             request.first,
             RequestEvent::First { attempt: number, worker: worker.number },
         );
-        // A process that hangs has not taken what its machine accepts.
+        // A process that hangs has not taken what its machine accepted.
         let taken = *worker.mode.borrow() != Mode::Hangs;
         let whole =
             RequestEvent::Whole { attempt: number, worker: worker.number, budget, sent: request.sent, taken };
         worker.recorder.record_at(id, request.last, whole);
-        let reads = worker.role == Role::Reads;
-        let (ran, over) = (AtomicBool::new(!reads), AtomicBool::new(false));
-        Attempt { worker, connection, id, number, taken, ran, over }
+        let is_reader = worker.role == Role::Reader;
+        let (ran, ended) = (AtomicBool::new(!is_reader), AtomicBool::new(false));
+        Attempt { worker, connection, id, number, taken, ran, ended }
     }
 
-    pub(super) fn runs(&self) {
+    pub(super) fn set_running(&self) {
         self.ran.store(true, Ordering::Relaxed);
     }
 
-    /// It is over: from now on, or since the router ended its connection. "A second copy if an earlier one is still out on
-    /// an **open** connection."
-    pub(super) fn over(&self, ran: Ran) {
-        if !self.over.swap(true, Ordering::Relaxed) {
+    /// Records the attempt's end: now, or when the router ended its connection, since the specification only forbids
+    /// "a second copy if an earlier one is still out on an **open** connection".
+    pub(super) fn end(&self, ran: Ran) {
+        if !self.ended.swap(true, Ordering::Relaxed) {
             let (attempt, worker) = (self.number, self.worker.number);
             let closed = self.connection.closed_by_router();
             if closed.is_some() {
@@ -60,19 +60,19 @@
 }
 
 impl Attempt<'_> {
-    /// Its connection has ended, and the server's process sees that now.
+    /// The server's process notices that the connection ended.
     pub(super) fn connection_ended(&self) {
         let ran = self.ran.load(Ordering::Relaxed);
-        self.over(if ran { Ran::Yes } else { Ran::No });
+        self.end(if ran { Ran::Yes } else { Ran::No });
     }
 
-    /// "503 or 504 with `X-Rejected: 1`: turned away, never has it run." False if the connection has ended.
-    pub(super) async fn turned_away(&self, writes: &mut Writes) -> bool {
-        const TURNED_AWAY: &[u8] =
+    /// "503 or 504 with `X-Rejected: 1`: turned away, never has it run." False if the connection ended.
+    pub(super) async fn reject(&self, output: &mut WriteSide) -> bool {
+        const REJECTED: &[u8] =
             b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
-        self.connection.passes().await;
-        self.over(Ran::No);
-        writes.write_all(TURNED_AWAY).await.is_ok()
+        self.connection.wait_delivery().await;
+        self.end(Ran::No);
+        output.write_all(REJECTED).await.is_ok()
     }
 }
 
