--- a/soak/src/worker.rs
+++ b/soak/src/worker.rs
@@ -55,7 +55,7 @@
     SendsGarbage,
     /// Its answers stop within a chunk, and the connection ends.
     BreaksOff,
-    /// It takes [`SLOW_FACTOR`] times as long.
+    /// It takes ten times as long.
     Slow,
     /// It closes connections as soon as they are idle.
     ClosesIdle,
