--- a/soak/src/oracle/request.rs
+++ b/soak/src/oracle/request.rs
@@ -1,111 +1,111 @@
-//! A request, put together from its story.
+//! Requests and attempts, rebuilt from event traces.
 
 use crate::class::Class;
-use crate::story::{Happened, Outcome, Ran, Story};
+use crate::trace::{Outcome, Ran, RequestEvent, Trace};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// An attempt, put together from its story.
+/// An attempt, rebuilt from the event trace.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) worker: usize,
-    pub(super) first: Instant,
-    pub(super) whole: Option<Instant>,
+    pub(super) began: Instant,
+    pub(super) received: Option<Instant>,
     /// When the router had sent its last byte.
     pub(super) sent: Option<Instant>,
-    /// It reached a running server.
+    /// A running server received it.
     pub(super) taken: bool,
     pub(super) budget: Option<Duration>,
-    pub(super) over: Option<(Instant, Ran)>,
-    /// When a running server saw that its connection had ended.
-    pub(super) noticed: Option<Instant>,
+    pub(super) ended: Option<(Instant, Ran)>,
+    /// When a running server noticed that its connection had ended.
+    pub(super) end_noticed: Option<Instant>,
 }
 
-/// A request, put together from its story.
+/// A request, rebuilt from its event trace.
 pub(super) struct Request<'a> {
     pub(super) id: u64,
-    pub(super) story: &'a Story,
+    pub(super) trace: &'a Trace,
     pub(super) asked: Instant,
     pub(super) router: usize,
     pub(super) class: Class,
     pub(super) fresh: bool,
-    pub(super) left: Option<Instant>,
-    pub(super) head: Option<Instant>,
+    pub(super) left_at: Option<Instant>,
+    pub(super) head_at: Option<Instant>,
     pub(super) ended: Option<(Instant, Outcome)>,
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl<'a> Request<'a> {
-    /// None if its client never asked.
-    pub(super) fn of(id: u64, story: &'a Story) -> Option<Self> {
-        let asked = story.iter().find_map(|(at, happened)| match happened {
-            Happened::Asked { router, class, fresh } => Some((*at, *router, *class, *fresh)),
+    /// None if the client never sent the request.
+    pub(super) fn of(id: u64, trace: &'a Trace) -> Option<Self> {
+        let asked = trace.iter().find_map(|(at, event)| match event {
+            RequestEvent::Asked { router, class, fresh } => Some((*at, *router, *class, *fresh)),
             _ => None,
         });
         let (asked, router, class, fresh) = asked?;
         let mut request = Request {
             id,
-            story,
+            trace,
             asked,
             router,
             class,
             fresh,
-            left: None,
-            head: None,
+            left_at: None,
+            head_at: None,
             ended: None,
             attempts: Vec::new(),
         };
         let mut attempts = BTreeMap::new();
-        for (at, happened) in story {
-            match happened {
-                Happened::Left => request.left = Some(*at),
-                Happened::Head(_) => request.head = Some(*at),
-                Happened::Ended(outcome) => request.ended = Some((*at, *outcome)),
-                Happened::First { attempt, worker } => {
+        for (at, event) in trace {
+            match event {
+                RequestEvent::Left => request.left_at = Some(*at),
+                RequestEvent::Head(_) => request.head_at = Some(*at),
+                RequestEvent::Ended(outcome) => request.ended = Some((*at, *outcome)),
+                RequestEvent::First { attempt, worker } => {
                     let new = Attempt {
                         worker: *worker,
-                        first: *at,
-                        whole: None,
+                        began: *at,
+                        received: None,
                         sent: None,
                         taken: false,
                         budget: None,
-                        over: None,
-                        noticed: None,
+                        ended: None,
+                        end_noticed: None,
                     };
                     attempts.insert(*attempt, new);
                 }
-                Happened::Whole { attempt, budget, sent, taken, .. } => {
+                RequestEvent::Whole { attempt, budget, sent, taken, .. } => {
                     if let Some(known) = attempts.get_mut(attempt) {
-                        (known.whole, known.budget, known.taken) = (Some(*at), *budget, *taken);
+                        (known.received, known.budget, known.taken) = (Some(*at), *budget, *taken);
                         known.sent = Some(*sent);
                     }
                 }
-                Happened::Over { attempt, ran, .. } => {
+                RequestEvent::Over { attempt, ran, .. } => {
                     if let Some(known) = attempts.get_mut(attempt) {
-                        known.over = Some((*at, *ran));
+                        known.ended = Some((*at, *ran));
                     }
                 }
-                Happened::Noticed { attempt } => {
+                RequestEvent::Noticed { attempt } => {
                     if let Some(known) = attempts.get_mut(attempt) {
-                        known.noticed = Some(*at);
+                        known.end_noticed = Some(*at);
                     }
                 }
                 _ => {}
             }
         }
         request.attempts = attempts.into_values().collect();
-        request.attempts.sort_by_key(|attempt| attempt.first);
+        request.attempts.sort_by_key(|attempt| attempt.began);
         Some(request)
     }
 }
 
-/// A request's story, a line each.
-pub(super) fn lines(request: &Request) -> Vec<String> {
-    let mut story: Vec<&(Instant, Happened)> = request.story.iter().collect();
-    story.sort_by_key(|(at, _)| *at);
+/// Formats a request's event trace, one line per event.
+pub(super) fn format_trace(request: &Request) -> Vec<String> {
+    let mut trace: Vec<&(Instant, RequestEvent)> = request.trace.iter().collect();
+    trace.sort_by_key(|(at, _)| *at);
     let after = |at: &Instant| match at.checked_duration_since(request.asked) {
         Some(after) => format!("+{:.1}", after.as_secs_f64() * 1e3),
         None => format!("-{:.1}", (request.asked - *at).as_secs_f64() * 1e3),
     };
-    story.iter().map(|(at, happened)| format!("{} ms {happened:?}", after(at))).collect()
+    trace.iter().map(|(at, event)| format!("{} ms {event:?}", after(at))).collect()
 }
