--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -9,8 +9,8 @@
 pub mod platform;
 pub mod websocket;
 
-use crate::core::Untaken;
-use crate::exchange::{Broken, Call, ClientEnd, Exchange};
+use crate::core::NotSubmitted;
+use crate::exchange::{Call, ClientEnd, Exchange, IncompleteAnswer};
 use crate::headers::IDEMPOTENCY_KEY;
 use crate::lifecycle::Phase;
 use actix_http::body::{BodySize, BoxBody, MessageBody};
@@ -87,11 +87,11 @@
 pub fn untaken(shared: &Shared, request: &Request, class: Option<ClassId>, status: StatusCode) {
     let gone = || request.conn_data::<Rc<Conn>>().is_some_and(|conn| conn.ended.get());
     let how = match status {
-        StatusCode::SERVICE_UNAVAILABLE => Untaken::Refused,
-        StatusCode::REQUEST_TIMEOUT if gone() => Untaken::Left,
-        _ => Untaken::Failed,
+        StatusCode::SERVICE_UNAVAILABLE => NotSubmitted::Refused,
+        StatusCode::REQUEST_TIMEOUT if gone() => NotSubmitted::Left,
+        _ => NotSubmitted::Failed,
     };
-    shared.core.untaken(class, how);
+    shared.core.count_not_submitted(class, how);
 }
 
 /// The answer to this request is the last one on its connection.
@@ -226,23 +226,26 @@
 }
 
 impl<R: Render> MessageBody for Answer<R> {
-    type Error = Broken;
+    type Error = IncompleteAnswer;
 
     fn size(&self) -> BodySize {
         BodySize::Stream
     }
 
-    fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_next(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteAnswer>>> {
         let this = self.get_mut();
         while !this.broken {
-            match this.end.poll_piece(cx) {
+            match this.end.poll_chunk(cx) {
                 Poll::Ready(Some(Ok(piece))) => {
                     let piece = this.render.piece(piece);
                     if !piece.is_empty() {
                         return Poll::Ready(Some(Ok(piece)));
                     }
                 }
-                Poll::Ready(Some(Err(Broken))) => {
+                Poll::Ready(Some(Err(IncompleteAnswer))) => {
                     // What came before must be written first: an error drops what waits in the buffer.
                     (this.broken, this.flushed) = (true, false);
                     let last = this.render.broken();
@@ -254,7 +257,7 @@
             }
         }
         if this.flushed {
-            return Poll::Ready(Some(Err(Broken)));
+            return Poll::Ready(Some(Err(IncompleteAnswer)));
         }
         this.flushed = true;
         cx.waker().wake_by_ref();
@@ -273,6 +276,6 @@
         Phase::Stopping => shared.inherited,
         phase => phase.takes_clients(),
     };
-    let able = takes && shared.core.able();
+    let able = takes && shared.core.can_serve();
     Response::new(if able { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/router/src/clients/carried.rs
+++ b/router/src/clients/carried.rs
@@ -3,7 +3,7 @@
 
 use super::conn::{Conn, TAKES_NOTHING};
 use super::listener::linger;
-use super::{Broken, Shared};
+use super::{IncompleteAnswer, Shared};
 use crate::exchange::ClientEnd;
 use crate::log;
 use bytes::Bytes;
@@ -23,14 +23,14 @@
     let _entered = shared.enter(&conn);
     let _busy = conn.request();
     let asked = conn.clone();
-    end.on_surrender(move |surrender| asked.ask(surrender));
+    end.on_detach_request(move |surrender| asked.ask(surrender));
     let code = loop {
         tokio::select! {
             biased;
-            piece = poll_fn(|cx| end.poll_piece(cx)) => {
+            piece = poll_fn(|cx| end.poll_chunk(cx)) => {
                 let bytes = match piece {
                     Some(Ok(piece)) => chunk(&piece),
-                    Some(Err(Broken)) => break "answer-broken",
+                    Some(Err(IncompleteAnswer)) => break "answer-broken",
                     None => Bytes::from_static(b"0\r\n\r\n"),
                 };
                 let last = bytes.len() == 5;
@@ -46,10 +46,10 @@
                 }
             }
             () = conn.free.notified() => {
-                if let Some(asked) = conn.surrender.take().filter(|asked| !asked.is_void()) {
-                    asked.begin();
+                if let Some(asked) = conn.surrender.take().filter(|asked| !asked.is_cancelled()) {
+                    asked.accept();
                     drop(end);
-                    return asked.give(socket);
+                    return asked.complete(socket);
                 }
             }
             () = left(&socket) => break "client-closed",
--- a/router/src/clients/conn.rs
+++ b/router/src/clients/conn.rs
@@ -2,7 +2,7 @@
 //! much is read of it. actix-http bounds neither the time of a body or of a later head nor, to less than 128 KiB,
 //! what it takes in; and while a request is under way it reads on without a pause. Both are guarded against here.
 
-use crate::exchange::Surrender;
+use crate::exchange::DetachRequest;
 use fawnstream_attempts::decisions::ConnectionFacts;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -67,7 +67,7 @@
     /// An answer is out while its client is sent away, or its connection is asked for.
     pub free: Notify,
     /// Who asks for the connection, to go on with its answer elsewhere.
-    pub surrender: RefCell<Option<Surrender>>,
+    pub surrender: RefCell<Option<DetachRequest>>,
     /// The socket, once the server library has let go of it.
     pub socket: RefCell<Option<TcpStream>>,
     /// It speaks another protocol now.
@@ -151,7 +151,7 @@
     }
 
     /// Asks for the connection.
-    pub fn ask(&self, surrender: Surrender) {
+    pub fn ask(&self, surrender: DetachRequest) {
         self.surrender.replace(Some(surrender));
         self.free.notify_one();
     }
--- a/router/src/clients/listener.rs
+++ b/router/src/clients/listener.rs
@@ -5,7 +5,7 @@
 use super::conn::{Conn, Wire};
 use crate::core::Core;
 use crate::lifecycle::{Lifecycle, Phase};
-use crate::live::Live;
+use crate::live::LiveConnections;
 use crate::log;
 use actix_codec::Framed;
 use actix_http::body::BoxBody;
@@ -69,7 +69,7 @@
     /// The clients' socket is the platform's, and another process may accept from it.
     pub inherited: bool,
     /// Long-lived connections, where there are any.
-    pub live: Option<Rc<Live>>,
+    pub live: Option<Rc<LiveConnections>>,
     /// Configurations taken over and turned down since the start.
     pub reloads: Cell<(u64, u64)>,
     /// Connections that are open; each is taken out by its task when it ends.
@@ -88,7 +88,7 @@
     /// With so many client connections, and so many bytes of requests' bodies, at most.
     pub fn new(
         core: Rc<Core>,
-        live: Option<Rc<Live>>,
+        live: Option<Rc<LiveConnections>>,
         most: usize,
         most_bodies: usize,
         inherited: bool,
@@ -353,7 +353,7 @@
                     let code = follow(served, &conn, &shared).await;
                     if conn.owes() && !FREE_ENDS.contains(&code) {
                         let what = format!("connection={peer} code={code}");
-                        shared.core.violated(Invariant::ClosedUnanswered, &what);
+                        shared.core.record_violation(Invariant::ClosedUnanswered, &what);
                     }
                     drop(entered);
                     log!(
@@ -433,12 +433,12 @@
             },
             _ = life.changed() => {}
             () = conn.free.notified() => {
-                let asked = conn.surrender.take().filter(|asked| !asked.is_void() && conn.quiet());
+                let asked = conn.surrender.take().filter(|asked| !asked.is_cancelled() && conn.quiet());
                 if let Some(asked) = asked {
-                    asked.begin();
+                    asked.accept();
                     drop(served);
                     if let Some(socket) = conn.socket.take() {
-                        asked.give(socket);
+                        asked.complete(socket);
                     }
                     return "handed-over";
                 }
--- a/router/src/clients/openai.rs
+++ b/router/src/clients/openai.rs
@@ -120,7 +120,7 @@
         Opening::Stream => {
             let (mut whole, mut size) = (Whole::default(), 0);
             loop {
-                match poll_fn(|cx| end.poll_piece(cx)).await {
+                match poll_fn(|cx| end.poll_chunk(cx)).await {
                     Some(Ok(piece)) => {
                         size += piece.len();
                         if size > LARGEST_ANSWER {
--- a/router/src/clients/openai/api.rs
+++ b/router/src/clients/openai/api.rs
@@ -242,7 +242,7 @@
             idempotency_key: None,
             target: super::CHAT.to_owned(),
             body: self.body.clone(),
-            _held: Some(Box::new(held)),
+            _reservation: Some(Box::new(held)),
         }
     }
 }
--- a/router/src/clients/platform.rs
+++ b/router/src/clients/platform.rs
@@ -58,7 +58,7 @@
             return Err(Bad::Field("the body is no JSON".to_owned()));
         }
         call.body = bytes;
-        call._held = Some(Box::new(held));
+        call._reservation = Some(Box::new(held));
         submit(&shared, &request, call)
     };
     let mut end = match taken.await {
@@ -84,7 +84,7 @@
     match end.opening().await {
         Opening::Stream => {
             if let Some(conn) = request.conn_data::<Rc<Conn>>().cloned() {
-                end.on_surrender(move |asked| conn.ask(asked));
+                end.on_detach_request(move |asked| conn.ask(asked));
             }
             Response::build(StatusCode::OK)
                 .insert_header((CONTENT_TYPE, "text/event-stream"))
@@ -171,7 +171,7 @@
         idempotency_key: idempotency_key(head)?,
         target: String::new(),
         body: Bytes::new(),
-        _held: None,
+        _reservation: None,
     })
 }
 
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -6,7 +6,7 @@
 use crate::config::websocket::{Route, WebSocket};
 use crate::leg::Leg;
 use crate::live::relay::{Relay, open_upstream};
-use crate::live::{Live, Order, turned_name};
+use crate::live::{LiveConnections, RelayCommand, refusal_name};
 use crate::servers::upgrade::Ask;
 use actix_codec::Framed;
 use actix_http::body::{BodySize, BoxBody};
@@ -201,27 +201,33 @@
 }
 
 /// One connection, from its upgrade to its end.
-pub async fn serve(live: Rc<Live>, shared: Rc<Shared>, connect: Duration, request: Request, wire: Upgrade) {
+pub async fn serve(
+    live: Rc<LiveConnections>,
+    shared: Rc<Shared>,
+    connect: Duration,
+    request: Request,
+    wire: Upgrade,
+) {
     let conn = request.conn_data::<Rc<Conn>>().cloned();
     let _busy = super::note(&request);
     if let Some(conn) = &conn {
         conn.take_due();
         conn.upgraded.set(true);
     }
-    let told = live.told();
+    let told = live.settings();
     let (route, tenant, ask) = match check(&told, &request) {
         Ok(checked) => checked,
         Err(bad) => {
-            live.refused(bad.name());
+            live.count_refused(bad.name());
             crate::log!("websocket refused path={:?} reason={}", request.path(), bad.name());
             return refuse(wire, bad.answer(), conn.as_ref()).await;
         }
     };
     let tenant_name = shared.core.tenant_name(tenant).to_owned();
     let turn_away = |name: &str, why: Refusal| {
-        crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", turned_name(why));
+        crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", refusal_name(why));
     };
-    let mut member = match live.ask(tenant, route.safe) {
+    let mut member = match live.enqueue(tenant, route.safe) {
         Ok(member) => member,
         Err((why, again)) => {
             turn_away("-", why);
@@ -231,30 +237,30 @@
     let (name, ask) = (member.name(), Rc::new(ask));
     // The decisions say where to, and end it in time: every wait of theirs is bounded.
     let upstream = loop {
-        match member.orders.recv().await {
-            Some(Order::Try(server)) => {
+        match member.commands.recv().await {
+            Some(RelayCommand::OpenUpstream(server)) => {
                 let label = server.label.clone();
                 match Box::pin(open_upstream(&member, server, &ask, None, connect)).await {
                     Ok(upstream) => break Some((upstream, label)),
                     Err(error) => {
                         crate::log!("websocket attempt id={name} server={label} reason={}", error.reason);
                         if error.unusable {
-                            member.turned("unusable");
+                            member.refused("unusable");
                             let answer = Response::build(StatusCode::BAD_GATEWAY).force_close().finish();
                             return refuse(wire, answer.map_into_boxed_body(), conn.as_ref()).await;
                         }
-                        member.tried(error.attempt);
+                        member.attempt_ended(error.attempt);
                     }
                 }
             }
-            Some(Order::Turn(why, again)) => {
+            Some(RelayCommand::Refuse(why, again)) => {
                 turn_away(&name, why);
-                member.turned(turned_name(why));
+                member.refused(refusal_name(why));
                 return refuse(wire, turned(why, again), conn.as_ref()).await;
             }
-            Some(Order::Close(_, again)) => {
+            Some(RelayCommand::Close(_, again)) => {
                 turn_away(&name, Refusal::Draining);
-                member.turned(turned_name(Refusal::Draining));
+                member.refused(refusal_name(Refusal::Draining));
                 return refuse(wire, turned(Refusal::Draining, again), conn.as_ref()).await;
             }
             None => break None,
@@ -271,10 +277,10 @@
     let written = Pin::new(&mut wire).write(h1::Message::Item((head, size))).is_ok();
     let out = poll_fn(|cx| Pin::new(&mut wire).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
     let out = written && matches!(actix_rt::time::timeout(ANSWER_TIME, out).await, Ok(Ok(())));
-    member.tried(fawnstream_sessions::AttemptOutcome::Opened);
+    member.attempt_ended(fawnstream_sessions::AttemptOutcome::Opened);
     if !out {
         crate::log!("websocket id={name} server={label} code=client-left");
-        return member.turned("client-left");
+        return member.refused("client-left");
     }
     member.opened();
     // What the upgrade needed goes now: the connection may stay for hours.
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -52,25 +52,33 @@
     /// What it does.
     pub role: Role,
     /// Since when it is known to take nothing new.
-    pub told: Cell<Option<Instant>>,
+    pub draining_since: Cell<Option<Instant>>,
     /// When the decisions were last told that it says something.
-    pub heard: Cell<Option<Instant>>,
+    pub last_activity_event: Cell<Option<Instant>>,
     /// When something was last read from its process.
-    pub spoke: Cell<Option<Instant>>,
+    pub last_heard: Cell<Option<Instant>>,
     /// When discovery told of it as a server that was not listed before.
-    pub announced: Option<Instant>,
+    pub announced_at: Option<Instant>,
 }
 
 impl Server {
     /// A server of which nothing is known but its entry.
-    fn new(label: String, address: SocketAddr, role: Role, announced: Option<Instant>) -> Rc<Self> {
-        let (told, heard, spoke) = Default::default();
-        Rc::new(Server { label, address, role, told, heard, spoke, announced })
+    fn new(label: String, address: SocketAddr, role: Role, announced_at: Option<Instant>) -> Rc<Self> {
+        let (draining_since, last_activity_event, last_heard) = Default::default();
+        Rc::new(Server {
+            label,
+            address,
+            role,
+            draining_since,
+            last_activity_event,
+            last_heard,
+            announced_at,
+        })
     }
 }
 
 /// One attempt, as the servers' side gets it.
-pub struct Order {
+pub struct AttemptOrder {
     /// The request and its answer's way back.
     pub exchange: Rc<Exchange>,
     /// Its number in the core.
@@ -80,7 +88,7 @@
     /// Where to.
     pub server: Rc<Server>,
     /// When to stop waiting for a first token or the end of the read.
-    pub until: Instant,
+    pub answer_by: Instant,
     /// The client's deadline, told to the server.
     pub deadline: Instant,
     /// When what is held for the request has to be let go, unless its last byte is written by then.
@@ -88,13 +96,13 @@
     /// What binds it as a repeat; none where no attempt may have run before it.
     pub repeat: Option<RepeatLimits>,
     /// It must not be begun before this says so, and tells that time anew: what is held is being let go of.
-    pub after: Option<oneshot::Receiver<Option<Instant>>>,
+    pub release_done: Option<oneshot::Receiver<Option<Instant>>>,
     /// Ends the attempt early.
     pub stop: oneshot::Receiver<()>,
 }
 
 /// How an attempt ended, as the servers' side tells it.
-pub struct Ended {
+pub struct AttemptResult {
     /// How.
     pub verdict: Verdict,
     /// Prompt tokens found kept.
@@ -117,10 +125,10 @@
     pub connection: Option<Traced>,
 }
 
-impl Ended {
+impl AttemptResult {
     /// An attempt that told nothing but how it ended.
     pub fn new(verdict: Verdict, evidence: Evidence, delivery: Delivery, reason: &'static str) -> Self {
-        Ended {
+        AttemptResult {
             verdict,
             kept: None,
             used: None,
@@ -136,14 +144,14 @@
 
     /// It was never sent.
     pub fn unsent(verdict: Verdict, reason: &'static str) -> Self {
-        Ended::new(verdict, Evidence::Router, Delivery::Unsent, reason)
+        AttemptResult::new(verdict, Evidence::Router, Delivery::Unsent, reason)
     }
 }
 
 /// The servers' side.
 pub trait Servers {
     /// Starts an attempt; [`Core::started`] and [`Core::ended`] hear of it, never before this returns.
-    fn send(&self, order: Order);
+    fn send(&self, order: AttemptOrder);
     /// Asks a server to let go of all that is held for a request.
     fn release(&self, label: Rc<str>, at: Rc<Server>) -> Pin<Box<dyn Future<Output = ReleaseOutcome>>>;
     /// A server takes nothing new, or moved: its idle connections can go.
@@ -161,7 +169,7 @@
 
 /// Requests of one class that have ended, by how.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct OutcomeCounts {
     /// Answered whole.
     pub served: u64,
     /// Refused: trying again is harmless.
@@ -174,7 +182,7 @@
 
 /// How a request ended that never reached the module.
 #[derive(Clone, Copy, Debug)]
-pub enum Untaken {
+pub enum NotSubmitted {
     /// It was refused: there was no room for it.
     Refused,
     /// What came made no sense, or never came whole.
@@ -212,7 +220,7 @@
 }
 
 /// What the list says of a server, for who keeps connections there.
-pub struct News {
+pub struct ServerUpdate {
     /// The server.
     pub server: ServerId,
     /// Its kind; nothing is told of one that the list has dropped.
@@ -224,7 +232,7 @@
 }
 
 /// Hears of the list.
-type OnNews = Rc<dyn Fn(&[News])>;
+type OnNews = Rc<dyn Fn(&[ServerUpdate])>;
 
 /// Goes on with a client's connection by itself.
 type Bare = Rc<dyn Fn(ClientEnd, TcpStream)>;
@@ -251,7 +259,7 @@
     /// Who keeps long-lived connections.
     on_news: RefCell<Option<OnNews>>,
     /// One for each class: a class that is not known adds none.
-    tallies: RefCell<Vec<Tally>>,
+    tallies: RefCell<Vec<OutcomeCounts>>,
     dispatches: Rc<Cell<u64>>,
     /// How long the module took for each event.
     decisions: Option<Histogram>,
@@ -282,7 +290,7 @@
             log!("class name={name:?} aim_ms={aim} aim_per_1000_ms={more} worth={}", class.worth);
         }
         let router = Router::new(settings, seed)?;
-        let tallies = RefCell::new(vec![Tally::default(); names.classes.len()]);
+        let tallies = RefCell::new(vec![OutcomeCounts::default(); names.classes.len()]);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Ok(Rc::new_cyclic(|me| Core {
             router: RefCell::new(router),
@@ -312,17 +320,17 @@
     }
 
     /// Connects the servers' side.
-    pub fn connect(&self, servers: Rc<dyn Servers>) {
+    pub fn connect_servers(&self, servers: Rc<dyn Servers>) {
         *self.servers.borrow_mut() = Some(servers);
     }
 
     /// Connects the clients' side, for connections that were given up.
-    pub fn connect_bare(&self, clients: impl Fn(ClientEnd, TcpStream) + 'static) {
+    pub fn connect_detached(&self, clients: impl Fn(ClientEnd, TcpStream) + 'static) {
         *self.bare.borrow_mut() = Some(Rc::new(clients));
     }
 
     /// Goes on with a client's connection that was given up.
-    pub fn bare(&self, end: ClientEnd, socket: TcpStream) {
+    pub fn serve_detached(&self, end: ClientEnd, socket: TcpStream) {
         let bare = self.bare.borrow().clone();
         if let Some(bare) = bare {
             bare(end, socket);
@@ -330,17 +338,17 @@
     }
 
     /// Connects who keeps long-lived connections: it hears of the list after the module.
-    pub fn connect_live(&self, hear: impl Fn(&[News]) + 'static) {
+    pub fn connect_live(&self, hear: impl Fn(&[ServerUpdate]) + 'static) {
         *self.on_news.borrow_mut() = Some(Rc::new(hear));
     }
 
     /// The module's choice of a server for one more long-lived connection.
-    pub fn place(&self, among: &[ServerId]) -> Option<ServerId> {
+    pub fn place_connection(&self, among: &[ServerId]) -> Option<ServerId> {
         self.router.borrow_mut().place_connection(self.now(), among)
     }
 
     /// What long-lived connections weigh at a server has changed by so many tokens.
-    pub fn hold(&self, at: ServerId, tokens: f64) {
+    pub fn add_connection_load(&self, at: ServerId, tokens: f64) {
         self.router.borrow_mut().add_connection_load(at, tokens);
     }
 
@@ -381,26 +389,26 @@
     }
 
     /// Whether a request could be served: a server that reads and one that writes are listed.
-    pub fn able(&self) -> bool {
+    pub fn can_serve(&self) -> bool {
         let list = self.list.borrow();
-        let has = |role| list.values().any(|s| s.told.get().is_none() && s.role == role);
+        let has = |role| list.values().any(|s| s.draining_since.get().is_none() && s.role == role);
         has(Role::Mixed) || (has(Role::Reader) && has(Role::Writer))
     }
 
     /// Requests that have not ended yet.
-    pub fn busy(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.borrow().len()
     }
 
     /// Ids in use and servers listed: neither outlives what it is for.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn table_sizes(&self) -> (usize, usize) {
         (self.labels.borrow().len(), self.list.borrow().len())
     }
 
     // Figures.
 
     /// What has ended, for each class in their order.
-    pub fn tallies(&self) -> Vec<Tally> {
+    pub fn outcome_counts(&self) -> Vec<OutcomeCounts> {
         self.tallies.borrow().clone()
     }
 
@@ -432,20 +440,20 @@
     }
 
     /// A request of this class ended before it could be submitted. One whose class is not known counts nowhere.
-    pub fn untaken(&self, class: Option<ClassId>, how: Untaken) {
+    pub fn count_not_submitted(&self, class: Option<ClassId>, how: NotSubmitted) {
         let mut tallies = self.tallies.borrow_mut();
         let Some(tally) = class.and_then(|class| tallies.get_mut(class.0)) else { return };
         match how {
-            Untaken::Refused => tally.refused += 1,
-            Untaken::Failed => tally.failed += 1,
-            Untaken::Left => tally.left += 1,
+            NotSubmitted::Refused => tally.refused += 1,
+            NotSubmitted::Failed => tally.failed += 1,
+            NotSubmitted::Left => tally.left += 1,
         }
     }
 
     // The list.
 
-    /// News of the list.
-    pub fn listed(&self, update: Update) {
+    /// An update of the list.
+    pub fn apply_list(&self, update: Update) {
         let mut gone = Vec::new();
         let mut members = Vec::new();
         // So many of those that are gone are on the list no more.
@@ -474,11 +482,11 @@
                         let name = if role == Role::Reader { "reader" } else { "writer" };
                         log!("list new server={} role={name} up_since_ms={}", entry.id, entry.up_since_ms);
                     }
-                    let announced = (!update.complete).then_some(now);
-                    Server::new(entry.id.clone(), entry.address, role, announced)
+                    let announced_at = (!update.complete).then_some(now);
+                    Server::new(entry.id.clone(), entry.address, role, announced_at)
                 });
                 if member.state == ServerState::Active {
-                    server.told.set(None);
+                    server.draining_since.set(None);
                 } else {
                     tell(&server, now);
                     gone.push((member.server, server.clone()));
@@ -503,19 +511,19 @@
         }
         let on_news = self.on_news.borrow().clone();
         let news = on_news.is_some().then(|| {
-            let dropped = gone[..dropped].iter().map(|(id, _)| News {
+            let dropped = gone[..dropped].iter().map(|(id, _)| ServerUpdate {
                 server: *id,
                 kind: None,
                 state: ServerState::Left,
                 up_since: None,
             });
-            let told = members.iter().map(|member| News {
+            let told = members.iter().map(|member| ServerUpdate {
                 server: member.server,
                 kind: Some(member.kind),
                 state: member.state,
                 up_since: member.up_since,
             });
-            dropped.chain(told).collect::<Vec<News>>()
+            dropped.chain(told).collect::<Vec<ServerUpdate>>()
         });
         self.handle(Event::Members(match update.complete {
             true => Members::Full(members),
@@ -645,13 +653,13 @@
 
     /// Goes on with a stream that another process began: it is open here until it ends, counts as any other, and the
     /// module, which has not sent it, is not asked about it. None if its id is in use.
-    pub fn carry(
+    pub fn take_over(
         &self,
         exchange: Rc<Exchange>,
         label: &str,
         address: SocketAddr,
         bill: Option<Bill>,
-    ) -> Option<(Order, ClientEnd)> {
+    ) -> Option<(AttemptOrder, ClientEnd)> {
         if self.labels.borrow().contains_key(&exchange.call.label) {
             return None;
         }
@@ -687,27 +695,27 @@
             usage.carried(request, bill);
         }
         self.open.borrow_mut().insert(request, open);
-        let end = self.client_again(request, &exchange);
+        let end = self.reattach_client(request, &exchange);
         let attempt = Attempt(0);
-        let order = Order {
+        let order = AttemptOrder {
             exchange,
             request,
             attempt,
             server,
-            until: now,
+            answer_by: now,
             deadline: now,
             write_by: None,
             repeat: None,
-            after: None,
+            release_done: None,
             stop: stopped,
         };
         Some((order, end))
     }
 
     /// A new client's end for a stream whose client's connection was given up.
-    pub fn client_again(&self, request: RequestId, exchange: &Rc<Exchange>) -> ClientEnd {
+    pub fn reattach_client(&self, request: RequestId, exchange: &Rc<Exchange>) -> ClientEnd {
         let me = self.me.clone();
-        ClientEnd::again(exchange.clone(), move || {
+        ClientEnd::reattach(exchange.clone(), move || {
             if let Some(core) = me.upgrade() {
                 core.gone(request);
             }
@@ -715,7 +723,7 @@
     }
 
     /// A stream goes on in another process, which counts it.
-    pub fn handed(&self, request: RequestId, attempt: Attempt) {
+    pub fn handed_over(&self, request: RequestId, attempt: Attempt) {
         let Some(open) = self.open.borrow_mut().remove(&request) else { return };
         self.labels.borrow_mut().remove(&open.exchange.call.label);
         log!("request id={} outcome=handed-over", open.exchange.call.label);
@@ -741,7 +749,7 @@
 
     /// An attempt's answer begins: from here on it belongs to the client. False if the client has an answer
     /// already or left.
-    pub fn started(&self, request: RequestId, attempt: Attempt) -> bool {
+    pub fn answer_began(&self, request: RequestId, attempt: Attempt) -> bool {
         {
             let mut all = self.open.borrow_mut();
             let Some(open) = all.get_mut(&request) else { return false };
@@ -755,7 +763,7 @@
             if open.overdue {
                 self.releases.count_needless();
             }
-            open.exchange.open(Opening::Stream);
+            open.exchange.begin_answer(Opening::Stream);
         }
         // A release that was under way ends.
         self.poll_leases();
@@ -764,23 +772,23 @@
     }
 
     /// Something of an answer came from a server. Told on at intervals: a stream has many events.
-    pub fn heard(&self, server: &Server) {
+    pub fn record_activity(&self, server: &Server) {
         let now = Instant::now();
-        if server.heard.get().is_none_or(|heard| now.duration_since(heard) >= HEARD_EVERY) {
-            server.heard.set(Some(now));
+        if server.last_activity_event.get().is_none_or(|heard| now.duration_since(heard) >= HEARD_EVERY) {
+            server.last_activity_event.set(Some(now));
             self.handle(Event::Activity(server_id(&server.label)));
         }
     }
 
     /// A server told its load ahead of an answer's end.
-    pub fn reported(&self, server: &Server, report: Option<Report>) {
+    pub fn record_load_report(&self, server: &Server, report: Option<Report>) {
         if report.is_some() {
             self.handle(Event::Probed { server: server_id(&server.label), ok: true, report });
         }
     }
 
     /// An attempt ended.
-    pub fn ended(&self, request: RequestId, attempt: Attempt, ended: Ended) {
+    pub fn attempt_ended(&self, request: RequestId, attempt: Attempt, ended: AttemptResult) {
         let mut verdict = ended.verdict;
         if ended.unusable {
             // No other server could use it either, and none is to blame.
@@ -847,7 +855,7 @@
             }
             open.answered
         };
-        let Ended { kept, report, evidence, .. } = ended;
+        let AttemptResult { kept, report, evidence, .. } = ended;
         let outcome = Outcome { request, attempt, verdict, evidence, settled, kept, report };
         self.handle(Event::Outcome(outcome));
         self.settle(request);
@@ -858,9 +866,9 @@
         if let Some(open) = self.open.borrow_mut().get_mut(&id).filter(|open| !open.answered) {
             open.answered = true;
             if Instant::now() > open.deadline + ANSWER_LOST {
-                self.violated(Invariant::AnswerInTime, &format!("id={}", open.exchange.call.label));
+                self.record_violation(Invariant::AnswerInTime, &format!("id={}", open.exchange.call.label));
             }
-            open.exchange.open(opening);
+            open.exchange.begin_answer(opening);
             let how = match opening {
                 Opening::Failed => "failed",
                 Opening::Unusable => "unusable",
@@ -909,7 +917,10 @@
     fn done(&self, id: RequestId, open: &Open, outcome: &str, tokens: Option<Tokens>) {
         let call = &open.exchange.call;
         if open.done.replace(true) {
-            return self.violated(Invariant::OneFinalAnswer, &format!("id={} outcome={outcome}", call.label));
+            return self.record_violation(
+                Invariant::OneFinalAnswer,
+                &format!("id={} outcome={outcome}", call.label),
+            );
         }
         if let Some(usage) = &self.usage {
             let used = RequestUsage {
@@ -1029,20 +1040,26 @@
     fn check_send(&self, open: &Open) -> bool {
         let label = &open.exchange.call.label;
         if open.current.is_some() || open.history.in_flight() {
-            self.violated(Invariant::OneAttemptAtOnce, &format!("id={label} attempts={}", open.attempts));
+            self.record_violation(
+                Invariant::OneAttemptAtOnce,
+                &format!("id={label} attempts={}", open.attempts),
+            );
             return false;
         }
         // Which servers drop repeats together is the module's to know.
         let repeat = self.repeat(open.exchange.call.class);
         let allowed = open.history.may_repeat(repeat, self.lease_time(), |_| true);
         if !allowed {
-            self.violated(Invariant::RepeatPermitted, &format!("id={label} attempts={}", open.attempts));
+            self.record_violation(
+                Invariant::RepeatPermitted,
+                &format!("id={label} attempts={}", open.attempts),
+            );
         }
         allowed
     }
 
     /// A rule was broken: it is counted and logged, and a debug build ends here.
-    pub fn violated(&self, rule: Invariant, what: &str) {
+    pub fn record_violation(&self, rule: Invariant, what: &str) {
         self.violations.record(rule);
         log!("invariant violated rule={} {what}", rule.name());
         debug_assert!(false, "invariant violated: {} {what}", rule.name());
@@ -1087,25 +1104,26 @@
         let now = Instant::now();
         let repeat = self.repeat_limits(open, &server);
         open.history.begin(to, self.lease_time());
-        let (write_by, after) = match self.leases.borrow_mut().attempt_starts(id.0, self.lease_time()) {
+        let (write_by, release_done) = match self.leases.borrow_mut().attempt_starts(id.0, self.lease_time())
+        {
             Permission::Now { write_by } => (write_by.map(|at| self.instant(at)), None),
             Permission::AfterRelease => {
-                let (go, after) = oneshot::channel();
+                let (go, release_done) = oneshot::channel();
                 open.go = Some(go);
-                (None, Some(after))
+                (None, Some(release_done))
             }
         };
         let wait = timeout.map_or(open.deadline, |t| now + Duration::from_nanos(t.0));
-        let order = Order {
+        let order = AttemptOrder {
             exchange: open.exchange.clone(),
             request: id,
             attempt,
             server,
-            until: wait.min(open.deadline),
+            answer_by: wait.min(open.deadline),
             deadline: open.deadline,
             write_by,
             repeat,
-            after,
+            release_done,
             stop: stopped,
         };
         drop(all);
@@ -1134,14 +1152,14 @@
 }
 
 fn tell(server: &Server, now: Instant) {
-    if server.told.get().is_none() {
-        server.told.set(Some(now));
+    if server.draining_since.get().is_none() {
+        server.draining_since.set(Some(now));
         log!("list drains server={}", server.label);
     }
 }
 
 /// What the end of an attempt proves to the owner of leases.
-fn attempt_end(ended: &Ended) -> AttemptEnd {
+fn attempt_end(ended: &AttemptResult) -> AttemptEnd {
     match (ended.delivery, ended.evidence) {
         (Delivery::Unsent, _) => AttemptEnd::NotSent,
         (Delivery::Written, Evidence::Server) if ended.verdict == Verdict::Closed => AttemptEnd::Closed,
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -43,13 +43,13 @@
     }
 
     /// Requests for which something is held or being released, and those for which something was held too long.
-    pub fn leases(&self) -> (usize, u64) {
+    pub fn lease_counts(&self) -> (usize, u64) {
         let leases = self.leases.borrow();
         (leases.len(), leases.late_count())
     }
 
     /// Releases that were answered, by kind.
-    pub fn releases(&self) -> ReleaseCounts {
+    pub fn release_counts(&self) -> ReleaseCounts {
         self.leases.borrow().release_counts()
     }
 
--- a/router/src/core/repeats.rs
+++ b/router/src/core/repeats.rs
@@ -83,8 +83,8 @@
         };
         let ran = open.history.first_possible_run().filter(|_| server.role != Role::Reader)?;
         let before_end = |reserve: Duration| self.instant((ran.at + window).saturating_sub(reserve));
-        let announced = server.spoke.get().is_none()
-            && server.announced.is_some_and(|at| at.elapsed() <= ANNOUNCED_LASTS);
+        let announced = server.last_heard.get().is_none()
+            && server.announced_at.is_some_and(|at| at.elapsed() <= ANNOUNCED_LASTS);
         if announced {
             self.repeat_counts.count_announced();
         }
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -16,7 +16,7 @@
 const MOST_WAITING: usize = 64 * 1024;
 
 /// The client's side gives its connection up in this time, or keeps it.
-const SURRENDER: Duration = Duration::from_millis(100);
+const DETACH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A request as the core sees it.
 pub struct Call {
@@ -47,12 +47,12 @@
     /// The request's body.
     pub body: Bytes,
     /// What goes when the request does: its part of what all may take.
-    pub _held: Option<Box<dyn std::any::Any>>,
+    pub _reservation: Option<Box<dyn std::any::Any>>,
 }
 
 impl Call {
     /// A request whose answer another process began: all that is left to know of it.
-    pub fn carried(label: String, class: Option<ClassId>, age: Duration, prompt_len: f64) -> Self {
+    pub fn taken_over(label: String, class: Option<ClassId>, age: Duration, prompt_len: f64) -> Self {
         let now = Instant::now();
         Call {
             label,
@@ -69,7 +69,7 @@
             idempotency_key: None,
             target: String::new(),
             body: Bytes::new(),
-            _held: None,
+            _reservation: None,
         }
     }
 }
@@ -90,11 +90,11 @@
 /// The stream ended before its end.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer broke off")]
-pub struct Broken;
+pub struct IncompleteAnswer;
 
 /// The client left.
 #[derive(Debug)]
-pub struct Left;
+pub struct ClientLeft;
 
 #[derive(Default)]
 struct State {
@@ -113,34 +113,34 @@
     state: RefCell<State>,
     left: Cell<bool>,
     on_leave: RefCell<Option<Box<dyn FnOnce()>>>,
-    on_surrender: RefCell<Option<OnSurrender>>,
+    on_detach_request: RefCell<Option<OnDetachRequest>>,
 }
 
 /// Hears that the client's connection is asked for.
-type OnSurrender = Box<dyn Fn(Surrender)>;
+type OnDetachRequest = Box<dyn Fn(DetachRequest)>;
 
 /// How the client's side gives its connection up, once nothing of the answer waits there any more. Dropping it says
 /// that it does not.
-pub struct Surrender {
+pub struct DetachRequest {
     socket: oneshot::Sender<TcpStream>,
     exchange: Weak<Exchange>,
 }
 
-impl Surrender {
+impl DetachRequest {
     /// Nobody waits for it any more.
-    pub fn is_void(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         self.socket.is_closed()
     }
 
     /// From here on the client's end of the exchange may be dropped: its client has not left.
-    pub fn begin(&self) {
+    pub fn accept(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
             exchange.on_leave.take();
         }
     }
 
     /// The connection.
-    pub fn give(self, socket: TcpStream) {
+    pub fn complete(self, socket: TcpStream) {
         let _ = self.socket.send(socket);
     }
 }
@@ -153,7 +153,7 @@
             state: RefCell::default(),
             left: Cell::new(false),
             on_leave: RefCell::default(),
-            on_surrender: RefCell::default(),
+            on_detach_request: RefCell::default(),
         })
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// The answer begins. The core calls this once for each request.
-    pub fn open(&self, opening: Opening) {
+    pub fn begin_answer(&self, opening: Opening) {
         let mut state = self.state.borrow_mut();
         state.opening = Some(opening);
         if opening != Opening::Stream {
@@ -177,16 +177,16 @@
     // For the servers' side.
 
     /// Whether its client still waits for an answer to begin: else no attempt is begun for it any more.
-    pub fn waits(&self) -> bool {
+    pub fn awaits_answer(&self) -> bool {
         !self.left.get() && self.state.borrow().opening.is_none()
     }
 
     /// Hands on a piece of the answer; waits while the client is slow.
-    pub async fn push(&self, piece: Bytes) -> Result<(), Left> {
+    pub async fn push(&self, piece: Bytes) -> Result<(), ClientLeft> {
         poll_fn(|cx| {
             let mut state = self.state.borrow_mut();
             if self.left.get() {
-                return Poll::Ready(Err(Left));
+                return Poll::Ready(Err(ClientLeft));
             }
             if state.size >= MOST_WAITING {
                 state.server = Some(cx.waker().clone());
@@ -203,21 +203,21 @@
     }
 
     /// The client's connection, out of the hands of its side, if all that was pushed is out. The answer goes on
-    /// elsewhere, or here with [`ClientEnd::again`].
-    pub async fn surrender(self: &Rc<Self>) -> Option<TcpStream> {
+    /// elsewhere, or here with [`ClientEnd::reattach`].
+    pub async fn detach_client(self: &Rc<Self>) -> Option<TcpStream> {
         if !self.state.borrow().waiting.is_empty() || self.left.get() {
             return None;
         }
         let (socket, given) = oneshot::channel();
         {
-            let hook = self.on_surrender.borrow();
-            hook.as_ref()?(Surrender { socket, exchange: Rc::downgrade(self) });
+            let hook = self.on_detach_request.borrow();
+            hook.as_ref()?(DetachRequest { socket, exchange: Rc::downgrade(self) });
         }
-        actix_rt::time::timeout(SURRENDER, given).await.ok()?.ok()
+        actix_rt::time::timeout(DETACH_TIMEOUT, given).await.ok()?.ok()
     }
 
     /// The answer ends, whole or not.
-    pub fn close(&self, whole: bool) {
+    pub fn end_answer(&self, whole: bool) {
         let mut state = self.state.borrow_mut();
         state.end.get_or_insert(whole);
         wake(&mut state.client);
@@ -238,15 +238,15 @@
 
 impl ClientEnd {
     /// A new end for an answer whose client's connection was given up; `hear` runs if the client leaves.
-    pub fn again(exchange: Rc<Exchange>, hear: impl FnOnce() + 'static) -> Self {
+    pub fn reattach(exchange: Rc<Exchange>, hear: impl FnOnce() + 'static) -> Self {
         exchange.left.set(false);
         exchange.on_leave(hear);
         ClientEnd::new(exchange)
     }
 
     /// How to ask this side for its connection.
-    pub fn on_surrender(&self, hook: impl Fn(Surrender) + 'static) {
-        *self.exchange.on_surrender.borrow_mut() = Some(Box::new(hook));
+    pub fn on_detach_request(&self, hook: impl Fn(DetachRequest) + 'static) {
+        *self.exchange.on_detach_request.borrow_mut() = Some(Box::new(hook));
     }
 
     /// The client's end of this exchange.
@@ -267,7 +267,10 @@
     }
 
     /// The next piece of the answer, or nothing at its end.
-    pub fn poll_piece(&mut self, cx: &mut std::task::Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    pub fn poll_chunk(
+        &mut self,
+        cx: &mut std::task::Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteAnswer>>> {
         let mut state = self.exchange.state.borrow_mut();
         if let Some(piece) = state.waiting.pop_front() {
             state.size -= piece.len();
@@ -277,7 +280,7 @@
         match state.end {
             Some(whole) => {
                 self.taken = true;
-                Poll::Ready(if whole { None } else { Some(Err(Broken)) })
+                Poll::Ready(if whole { None } else { Some(Err(IncompleteAnswer)) })
             }
             None => {
                 state.client = Some(cx.waker().clone());
--- a/router/src/live/relay.rs
+++ b/router/src/live/relay.rs
@@ -2,7 +2,7 @@
 //! slow, and its server can be changed between two messages. Does what the decisions say, and tells them what it sees.
 
 use super::resume::{self, Message as Passing, Place, Step};
-use super::{Member, Order};
+use super::{ConnectionHandle, RelayCommand};
 use crate::core::Server;
 use crate::leg::{Fault, Leg, again};
 use crate::log;
@@ -32,13 +32,13 @@
 
 /// Opens an upstream for a connection.
 pub fn open_upstream(
-    member: &Member,
+    member: &ConnectionHandle,
     server: Rc<Server>,
     ask: &Rc<Ask>,
     last_id: Option<String>,
     connect: Duration,
 ) -> impl Future<Output = Result<Upstream, Refused>> + 'static {
-    upgrade::open(server, ask.clone(), last_id, connect, member.told().limits)
+    upgrade::open(server, ask.clone(), last_id, connect, member.settings().limits)
 }
 
 /// A move: first the messages under way end, then a new upstream opens.
@@ -51,7 +51,7 @@
 
 /// What happened.
 enum Event {
-    Order(Option<Order>),
+    Order(Option<RelayCommand>),
     Client(Result<Option<Frame>, Fault>),
     Server(Result<Option<Frame>, Fault>),
     Attempt(Result<Upstream, Refused>),
@@ -71,7 +71,7 @@
 
 /// See the module's page.
 pub struct Relay {
-    member: Member,
+    member: ConnectionHandle,
     client: Leg,
     server: Option<Leg>,
     label: String,
@@ -101,7 +101,7 @@
 impl Relay {
     /// A connection that was just let in.
     pub fn new(
-        member: Member,
+        member: ConnectionHandle,
         client: Leg,
         upstream: Upstream,
         ask: Rc<Ask>,
@@ -171,7 +171,7 @@
                 + self.server.as_ref().map_or(0, Leg::held)
                 + self.up.held()
                 + self.down.held();
-            if !self.member.holds(bytes) && self.end.is_none() {
+            if !self.member.set_buffered_bytes(bytes) && self.end.is_none() {
                 self.finish("no-memory", 1013, "the router is short of memory");
             }
         }
@@ -189,7 +189,7 @@
         if let Some(Poll::Ready(Err(_))) = self.server.as_mut().map(|server| server.poll_flush(cx)) {
             return Poll::Ready(Event::Server(Err(Fault::Broken)));
         }
-        if let Poll::Ready(order) = self.member.orders.poll_recv(cx)
+        if let Poll::Ready(order) = self.member.commands.poll_recv(cx)
             && self.end.is_none()
         {
             return Poll::Ready(Event::Order(order));
@@ -224,14 +224,14 @@
 
     // What it is told.
 
-    fn order(&mut self, order: Option<Order>) -> Option<&'static str> {
+    fn order(&mut self, order: Option<RelayCommand>) -> Option<&'static str> {
         match order {
-            Some(Order::Try(server)) => {
+            Some(RelayCommand::OpenUpstream(server)) => {
                 let until = Instant::now() + BOUNDARY;
                 let label = server.label.clone();
                 self.moving = Some(Moving { label, server, until, attempt: None });
             }
-            Some(Order::Close(code, again)) => {
+            Some(RelayCommand::Close(code, again)) => {
                 let (name, number) = match code {
                     CloseCause::ServerGone => ("server-gone", 1001),
                     CloseCause::Restart => ("restart", 1012),
@@ -239,7 +239,7 @@
                 };
                 self.finish(name, number, &format!("come again in {:.3} s", again.as_secs_f64()));
             }
-            Some(Order::Turn(..)) | None => self.finish("lost", 1012, "come again"),
+            Some(RelayCommand::Refuse(..)) | None => self.finish("lost", 1012, "come again"),
         }
         None
     }
@@ -292,12 +292,12 @@
                 log!("websocket moved id={} from={} to={}", self.member.name(), self.label, moving.label);
                 (self.server, self.label) = (Some(upstream.leg), moving.label);
                 self.moves += 1;
-                self.member.tried(AttemptOutcome::Opened);
+                self.member.attempt_ended(AttemptOutcome::Opened);
             }
             Err(error) => {
                 let (name, label) = (self.member.name(), moving.label);
                 log!("websocket attempt id={name} server={label} reason={}", error.reason);
-                self.member.tried(error.attempt);
+                self.member.attempt_ended(error.attempt);
             }
         }
         None
@@ -326,13 +326,13 @@
             self.client_closes = Some(reason.clone());
             self.end = Some(End { code: "client-closed", due: Instant::now() + CLOSING });
         }
-        let limits = self.member.told().limits;
+        let limits = self.member.settings().limits;
         match self.up.pass(&frame, limits.message, false) {
             Ok(Step::Whole(_)) => {
                 self.messages.0 += 1;
                 self.used = Instant::now();
                 self.place.said();
-                self.member.movable(self.place.movable());
+                self.member.set_movable(self.place.movable());
             }
             Ok(_) => {}
             Err(fault) => return self.unfit(fault),
@@ -396,13 +396,13 @@
             self.end = Some(End { code: "closed", due: Instant::now() + CLOSING });
             return None;
         }
-        let told = self.member.told();
+        let told = self.member.settings();
         match self.down.pass(&frame, told.limits.message, told.resume.any()) {
             Ok(Step::Whole(text)) => {
                 self.messages.1 += 1;
                 self.used = Instant::now();
                 self.place.heard(text.as_deref(), &told.resume);
-                self.member.movable(self.place.movable());
+                self.member.set_movable(self.place.movable());
             }
             Ok(_) => {}
             Err(_) => return self.spoilt("server-bad-text"),
@@ -413,7 +413,7 @@
 
     /// What the server sent cannot be read: the client has part of it, so nobody can go on.
     fn spoilt(&mut self, reason: &'static str) -> Option<&'static str> {
-        self.member.movable(false);
+        self.member.set_movable(false);
         self.broke(reason)
     }
 
@@ -429,9 +429,9 @@
         }
         if self.down.open() || self.up.open() {
             // A message that stops in its middle can't be gone on with.
-            self.member.movable(false);
+            self.member.set_movable(false);
         }
-        self.member.broke();
+        self.member.upstream_broke();
         None
     }
 
@@ -452,7 +452,7 @@
 
     /// When something may be due.
     fn next_look(&self) -> Instant {
-        let limits = self.member.told().limits;
+        let limits = self.member.settings().limits;
         let of = |leg: &Leg| {
             let sign = leg.asked.map_or(leg.heard + limits.ping, |(asked, _)| asked + limits.pong);
             leg.stuck().map_or(sign, |stuck| sign.min(stuck + TAKES_NOTHING))
@@ -469,7 +469,7 @@
 
     /// Time has passed: half-open peers are asked for a sign, or found to have gone.
     fn look(&mut self) -> Option<&'static str> {
-        let (now, limits) = (Instant::now(), self.member.told().limits);
+        let (now, limits) = (Instant::now(), self.member.settings().limits);
         if let Some(end) = self.end.filter(|end| end.due <= now) {
             if let Some(reason) = self.client_closes.take() {
                 self.leave_server(1001);
@@ -479,7 +479,7 @@
         }
         if self.moving.as_ref().is_some_and(|moving| moving.attempt.is_none() && moving.until <= now) {
             self.moving = None;
-            self.member.tried(AttemptOutcome::Deferred);
+            self.member.attempt_ended(AttemptOutcome::Deferred);
         }
         let paused = !self.server.as_ref().is_some_and(Leg::has_room) || self.moving.is_some();
         match sign(
--- a/router/src/operators/figures.rs
+++ b/router/src/operators/figures.rs
@@ -1,7 +1,7 @@
 //! The figures, in the text form that Prometheus reads. What they count is kept by the core.
 
 use crate::clients::Shared;
-use crate::core::Tally;
+use crate::core::OutcomeCounts;
 use fawnstream_attempts::invariants::Invariant;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 const PREFIX: &str = "router_";
 
 /// A figure of a class: its name, what it is, and where it stands.
-type Figure = (&'static str, &'static str, fn(&Tally) -> u64);
+type Figure = (&'static str, &'static str, fn(&OutcomeCounts) -> u64);
 
 /// The figures of one call.
 struct Page(Registry);
@@ -42,7 +42,7 @@
 /// All figures now.
 pub fn text(shared: &Shared) -> String {
     let (core, mut page) = (&shared.core, Page(Registry::new()));
-    let tallies = core.tallies();
+    let tallies = core.outcome_counts();
     let by_class: [Figure; 4] = [
         ("success", "Requests served whole.", |tally| tally.served),
         ("overload", "Requests refused; trying again is harmless.", |tally| tally.refused),
@@ -62,14 +62,14 @@
     if let Some(decisions) = core.decisions() {
         let _ = page.0.register(Box::new(decisions));
     }
-    let (held, late) = core.leases();
+    let (held, late) = core.lease_counts();
     page.gauge("holds", "Requests for which something is held at servers, or is being let go of.", held);
     page.counter("holds_late", "Requests for which something was held past the rule's time.", late);
     let (overdue, needless) = core.overdue_leases();
     let help = "Requests of which what was held was let go of while a call was out that nobody had answered.";
     page.counter("holds_overdue", help, overdue);
     page.counter("holds_overdue_answered", "Those of them whose call was answered after all.", needless);
-    let releases = core.releases();
+    let releases = core.release_counts();
     let kinds = [
         ("needed", releases.needed),
         ("repeated", releases.repeated),
@@ -105,16 +105,16 @@
         page.gauge("ledger_stopped", "1 while the ledger's disk fails.", stopped);
     }
     if let Some(live) = &shared.live {
-        let (now, figures) = live.figures();
+        let (now, figures) = live.counts();
         page.gauge("websocket_open", "Long-lived connections that have their server.", now.open);
         page.gauge("websocket_asking", "New ones that wait for a server's turn.", now.queued);
         page.gauge("websocket_waiting", "Long-lived connections that wait for a move.", now.awaiting_move);
         page.gauge("websocket_trying", "Attempts under way to open or move one.", now.attempting);
         page.counter("websocket_opened", "Long-lived connections let in.", figures.opened);
         page.counter("websocket_moved", "Moves to another server.", figures.moved);
-        page.counter("websocket_put_off", "Moves that came to nothing.", figures.put_off);
+        page.counter("websocket_put_off", "Moves that came to nothing.", figures.failed_moves);
         let rows = |counts: &BTreeMap<&'static str, u64>| counts.clone().into_iter();
-        let refused = rows(&figures.turned);
+        let refused = rows(&figures.refused);
         page.by("websocket_refused", "Upgrades turned away, by reason.", "reason", refused);
         let ended = rows(&figures.ended);
         page.by("websocket_ended", "Long-lived connections that ended, by reason.", "reason", ended);
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -126,17 +126,18 @@
     let handover = handover::Handover::new(inherits);
     let fleet =
         servers::Fleet::new(core.clone(), config.links, config.server_sockets, terms, handover.clone());
-    core.connect(fleet.clone());
+    core.connect_servers(fleet.clone());
     // Before the first list: it hears of the servers by its news.
     let websocket = config.websocket.as_ref().map(|told| told.listen);
-    let live =
-        config.websocket.map(|told| live::Live::new(core.clone(), told, config.seed, config.live_bytes));
+    let live = config
+        .websocket
+        .map(|told| live::LiveConnections::new(core.clone(), told, config.seed, config.live_bytes));
     let from = config.known.as_ref().map_or(0, |known| known.revision);
     if let Some(known) = config.known {
-        core.listed(known.update(None));
+        core.apply_list(known.update(None));
     }
     let listed = core.clone();
-    let hear = move |update| listed.listed(update);
+    let hear = move |update| listed.apply_list(update);
     let discovery = watch::Sender::new(config.discovery);
     let etcd = config.etcd.map(watch::Sender::new);
     match &etcd {
@@ -150,7 +151,7 @@
     let bare = move |end, socket| {
         actix_rt::spawn(clients::carried::write(clients.clone(), end, socket));
     };
-    core.connect_bare(bare.clone());
+    core.connect_detached(bare.clone());
     // Bound before this process takes clients: the one before it is told to end from then on.
     if let Some(listener) = handover.listen() {
         let room = shared.clone();
@@ -197,7 +198,7 @@
     let ready = shared.clone();
     actix_rt::spawn(async move {
         let able = async {
-            while !ready.core.able() {
+            while !ready.core.can_serve() {
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         };
@@ -211,7 +212,7 @@
             Some(()) = hup.recv() => reload(&shared, &discovery, etcd.as_ref()),
         }
     }
-    log!("stopping requests={} connections={}", core.busy(), shared.open());
+    log!("stopping requests={} connections={}", core.open_requests(), shared.open());
     shared.life.tell(Event::Stop);
     let late = config.links.longest_wait.map_or(KILLED, |wait| Duration::from_nanos(wait.0).min(KILLED));
     actix_rt::spawn(async move {
@@ -220,8 +221,8 @@
     });
     actix_rt::time::sleep(STILL_OPEN).await;
     let last = Instant::now() + config.stop_timeout;
-    let requests_are_open = || shared.accepting() || shared.open() > 0 || core.busy() > 0;
-    let under_way = || requests_are_open() || core.leases().0 > 0;
+    let requests_are_open = || shared.accepting() || shared.open() > 0 || core.open_requests() > 0;
+    let under_way = || requests_are_open() || core.lease_counts().0 > 0;
     // Since when there have been no requests, but leases.
     let mut only_leases_since = None;
     while under_way() && Instant::now() < last {
@@ -230,12 +231,12 @@
         } else if only_leases_since.get_or_insert_with(Instant::now).elapsed() > terms.release_time_limit() {
             // What nobody has let go of in the rule's time is late, and "what a stopped instance left is freed some
             // seconds later".
-            log!("stopping leases={} reason=time-to-release-over", core.leases().0);
+            log!("stopping leases={} reason=time-to-release-over", core.lease_counts().0);
             break;
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    if core.busy() > 0 {
+    if core.open_requests() > 0 {
         core.fail_all();
         let last = Instant::now() + FAILURES_SENT;
         while under_way() && Instant::now() < last {
@@ -245,8 +246,8 @@
     if let Some(usage) = usage {
         usage.stop().await;
     }
-    let (ids, servers) = core.held();
-    let (busy, open, holds) = (core.busy(), shared.open(), core.leases().0);
+    let (ids, servers) = core.table_sizes();
+    let (busy, open, holds) = (core.open_requests(), shared.open(), core.lease_counts().0);
     log!("stopped requests={busy} connections={open} ids={ids} servers={servers} holds={holds}");
     Ok(())
 }
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -8,8 +8,8 @@
 mod liveness;
 pub mod upgrade;
 
-use crate::core::{Core, Ended, Order, RepeatLimits, Server};
-use crate::exchange::{Call, ClientEnd, Exchange, Left};
+use crate::core::{AttemptOrder, AttemptResult, Core, RepeatLimits, Server};
+use crate::exchange::{Call, ClientEnd, ClientLeft, Exchange};
 use crate::handover::{Carried, Form, Framing, Handover, Stays, Text};
 use crate::headers::IDEMPOTENCY_KEY;
 use crate::log;
@@ -107,11 +107,12 @@
         let class = self.core.names().classes.iter().position(|class| *class == form.class);
         let age = Duration::from_millis(form.age_ms.min(LONGEST_AGE_MS));
         let told = form.bill.as_ref().map_or(0.0, |bill| bill.prompt);
-        let call = Call::carried(form.label, class.map(ClassId), age, told);
+        let call = Call::taken_over(form.label, class.map(ClassId), age, told);
         let exchange = Exchange::new(call);
         let fleet = self.clone();
         Some(Box::new(move || {
-            let Some((order, end)) = fleet.core.carry(exchange, &form.server, form.address, form.bill) else {
+            let Some((order, end)) = fleet.core.take_over(exchange, &form.server, form.address, form.bill)
+            else {
                 return log!("handover dropped reason=twice");
             };
             clients(end, client);
@@ -126,19 +127,19 @@
 }
 
 impl crate::core::Servers for Fleet {
-    fn send(&self, mut order: Order) {
+    fn send(&self, mut order: AttemptOrder) {
         let (core, pool, handover) = (self.core.clone(), self.pool.clone(), self.handover.clone());
         let closings = self.closings.clone();
         actix_rt::spawn(async move {
             let (request, attempt) = (order.request, order.attempt);
             let mut way = Way { core: &core, pool: &pool, handover: &handover, closings: &closings };
-            if let Some(after) = order.after.take() {
+            if let Some(after) = order.release_done.take() {
                 order.write_by = tokio::select! {
                     biased;
                     // Nobody can say so any more where the core has ended.
                     write_by = after => write_by.unwrap_or_default(),
                     _ = &mut order.stop => {
-                        return core.ended(request, attempt, Ended::unsent(Verdict::Cancelled, "cancelled"));
+                        return core.attempt_ended(request, attempt, AttemptResult::unsent(Verdict::Cancelled, "cancelled"));
                     }
                 };
             }
@@ -146,18 +147,22 @@
                 biased;
                 () = closings.wait(request) => {}
                 // Too late for it then; that is told where attempts begin.
-                () = actix_rt::time::sleep_until(order.until.into()) => {}
+                () = actix_rt::time::sleep_until(order.answer_by.into()) => {}
                 _ = &mut order.stop => {
-                    return core.ended(request, attempt, Ended::unsent(Verdict::Cancelled, "cancelled"));
+                    return core.attempt_ended(request, attempt, AttemptResult::unsent(Verdict::Cancelled, "cancelled"));
                 }
             }
             let Some(lane) = pool.take(&order.server) else {
-                return core.ended(request, attempt, Ended::unsent(Verdict::Moot, "no-sockets"));
+                return core.attempt_ended(
+                    request,
+                    attempt,
+                    AttemptResult::unsent(Verdict::Moot, "no-sockets"),
+                );
             };
             let (idle, trace) = (lane.idle(), lane.trace());
             let sent = Instant::now();
             let ended = run(&mut way, order, lane).await;
-            let ended = ended.map(|ended| Ended { idle, connection: Some(trace.now()), ..ended });
+            let ended = ended.map(|ended| AttemptResult { idle, connection: Some(trace.now()), ..ended });
             if let (Some(idle), Some("reset" | "closed")) = (idle, ended.as_ref().map(|ended| ended.reason))
                 && sent.elapsed() < AT_ONCE
             {
@@ -240,7 +245,7 @@
 /// How a stream's relay ended here.
 enum Relayed {
     /// The attempt is over.
-    Over(Ended),
+    Over(AttemptResult),
     /// It goes on in another process.
     Handed,
     /// It goes on here, without the libraries: its connections were given up and not taken.
@@ -249,8 +254,8 @@
 
 impl Way<'_> {
     /// An attempt is given up that may still be out at its server, and another one may follow.
-    fn give_up(&self, order: &Order, lane: &Lane) {
-        if lane.delivery().may_have_run() && order.exchange.waits() {
+    fn give_up(&self, order: &AttemptOrder, lane: &Lane) {
+        if lane.delivery().may_have_run() && order.exchange.awaits_answer() {
             let place = self.pool.carried();
             self.closings.begin(order.request, place.and_then(|place| Some((lane.detach()?, place))));
         }
@@ -258,7 +263,12 @@
 
     /// Returns when the server has shown, on the connection of a repeat, that its process runs; `latest` is when the repeat
     /// has to begin. Half of that time at most is spent, so that another server can be asked.
-    async fn sign_of_life(&self, order: &mut Order, lane: &Lane, latest: Instant) -> Result<(), Ended> {
+    async fn sign_of_life(
+        &self,
+        order: &mut AttemptOrder,
+        lane: &Lane,
+        latest: Instant,
+    ) -> Result<(), AttemptResult> {
         let address = order.server.address;
         let left = latest.saturating_duration_since(Instant::now());
         let patience = (left / 2).min(self.pool.connect_time());
@@ -266,36 +276,41 @@
         let answered = tokio::select! {
             biased;
             answered = asked => answered,
-            _ = &mut order.stop => return Err(Ended::unsent(Verdict::Cancelled, "cancelled")),
-            () = expired(order.write_by, lane) => return Err(Ended::unsent(Verdict::Expired, "expired")),
+            _ = &mut order.stop => return Err(AttemptResult::unsent(Verdict::Cancelled, "cancelled")),
+            () = expired(order.write_by, lane) => return Err(AttemptResult::unsent(Verdict::Expired, "expired")),
             () = actix_rt::time::sleep(patience) => Err(liveness::Unanswered::NoAnswer),
         };
         self.core.repeat_counts().count_asked(answered.is_ok());
         match answered {
             Ok(()) => {
-                order.server.spoke.set(Some(Instant::now()));
+                order.server.last_heard.set(Some(Instant::now()));
                 Ok(())
             }
             Err(liveness::Unanswered::NoConnection(error)) => {
                 let (verdict, _, reason) = failed(&error, lane);
-                Err(Ended::unsent(verdict, reason))
+                Err(AttemptResult::unsent(verdict, reason))
             }
             Err(liveness::Unanswered::NoAnswer) => {
-                Err(Ended::unsent(Verdict::NoSignOfLife, "no-sign-of-life"))
+                Err(AttemptResult::unsent(Verdict::NoSignOfLife, "no-sign-of-life"))
             }
         }
     }
 
     /// Tells the core how an attempt ended here.
-    fn tell(&self, request: RequestId, attempt: Attempt, ended: Option<Ended>) {
+    fn tell(&self, request: RequestId, attempt: Attempt, ended: Option<AttemptResult>) {
         match ended {
-            Some(ended) => self.core.ended(request, attempt, ended),
-            None => self.core.handed(request, attempt),
+            Some(ended) => self.core.attempt_ended(request, attempt, ended),
+            None => self.core.handed_over(request, attempt),
         }
     }
 
     /// Relays a stream without the library, to its end; none if it goes on elsewhere.
-    async fn go_on(&mut self, mut order: Order, mut raw: Raw, mut tail: Tail) -> Option<Ended> {
+    async fn go_on(
+        &mut self,
+        mut order: AttemptOrder,
+        mut raw: Raw,
+        mut tail: Tail,
+    ) -> Option<AttemptResult> {
         loop {
             let until = Instant::now() + STALL;
             match stream(self, &mut order, Source::Raw(&mut raw), &mut tail, Some(until)).await {
@@ -303,7 +318,7 @@
                 Relayed::Handed => return None,
                 Relayed::Bare(server, framing, client) => {
                     let Some(next) = self.bare(&order, server, framing, client) else {
-                        order.exchange.close(false);
+                        order.exchange.end_answer(false);
                         return Some(over(&tail, Verdict::Reset, "handover-failed"));
                     };
                     raw = next;
@@ -313,15 +328,21 @@
     }
 
     /// The connections of a stream that nobody took: from here on it goes by them alone.
-    fn bare(&self, order: &Order, server: TcpStream, framing: Framing, client: TcpStream) -> Option<Raw> {
+    fn bare(
+        &self,
+        order: &AttemptOrder,
+        server: TcpStream,
+        framing: Framing,
+        client: TcpStream,
+    ) -> Option<Raw> {
         let raw = Raw::new(server, framing, self.pool.carried()?)?;
-        let end = self.core.client_again(order.request, &order.exchange);
-        self.core.bare(end, client);
+        let end = self.core.reattach_client(order.request, &order.exchange);
+        self.core.serve_detached(end, client);
         Some(raw)
     }
 
     /// Offers a stream that stands between two chunks. None if it goes on as it is.
-    async fn offer(&self, order: &Order, source: &mut Source<'_>, tail: &Tail) -> Option<Relayed> {
+    async fn offer(&self, order: &AttemptOrder, source: &mut Source<'_>, tail: &Tail) -> Option<Relayed> {
         let kept = |reason: &Stays| log!("handover kept id={} reason={reason}", order.exchange.call.label);
         let call = match self.handover.call().await {
             Ok(call) => call,
@@ -332,7 +353,7 @@
         };
         let framing = source.framing()?;
         // The client's side first: it may not be able to, and then nothing has changed.
-        let client = order.exchange.surrender().await?;
+        let client = order.exchange.detach_client().await?;
         let form = Form {
             label: order.exchange.call.label.clone(),
             class: self.core.class_name(order.exchange.call.class).to_owned(),
@@ -358,19 +379,19 @@
 }
 
 /// An attempt whose stream has ended.
-fn over(tail: &Tail, verdict: Verdict, reason: &'static str) -> Ended {
-    Ended {
+fn over(tail: &Tail, verdict: Verdict, reason: &'static str) -> AttemptResult {
+    AttemptResult {
         kept: tail.kept,
         used: tail.used,
         report: tail.report,
-        ..Ended::new(verdict, Evidence::Server, Delivery::Answered, reason)
+        ..AttemptResult::new(verdict, Evidence::Server, Delivery::Answered, reason)
     }
 }
 
 /// One attempt from its send to its end; none if its stream goes on in another process.
-async fn run(way: &mut Way<'_>, mut order: Order, lane: Lane) -> Option<Ended> {
+async fn run(way: &mut Way<'_>, mut order: AttemptOrder, lane: Lane) -> Option<AttemptResult> {
     let (core, pool) = (way.core, way.pool);
-    let useful = order.until.checked_sub(LEAST_TIME).unwrap_or(order.until);
+    let useful = order.answer_by.checked_sub(LEAST_TIME).unwrap_or(order.answer_by);
     let begin = Begin {
         server: order.server.clone(),
         exchange: order.exchange.clone(),
@@ -382,7 +403,7 @@
         let (verdict, reason) = not_begun(forbidden);
         // Its connection is as good as before.
         pool.unused(lane);
-        return Some(Ended::unsent(verdict, reason));
+        return Some(AttemptResult::unsent(verdict, reason));
     }
     if begin.needs_sign_of_life
         && let Err(ended) = way.sign_of_life(&mut order, &lane, begin.latest).await
@@ -399,7 +420,7 @@
         order.deadline,
         body,
     );
-    let until = order.until;
+    let until = order.answer_by;
     let cut = |lane: &Lane, verdict, reason| {
         lane.closing(reason);
         let delivery = lane.delivery();
@@ -408,7 +429,7 @@
         let verdict = if verdict == Verdict::Timeout && unsent { Verdict::NoRoute } else { verdict };
         // With nothing heard for it, its server may not have read it yet.
         let evidence = if delivery == Delivery::Written { Evidence::Silence } else { Evidence::Router };
-        Ended::new(verdict, evidence, delivery, reason)
+        AttemptResult::new(verdict, evidence, delivery, reason)
     };
     // Kept until the reason is noted: dropping it ends the connection.
     let mut asked = std::pin::pin!(asked);
@@ -438,7 +459,7 @@
             if evidence == Evidence::Router {
                 way.give_up(&order, &lane);
             }
-            return Some(Ended::new(verdict, evidence, lane.delivery(), reason));
+            return Some(AttemptResult::new(verdict, evidence, lane.delivery(), reason));
         }
     };
     let rejected = answer.headers().get("X-Rejected").is_some_and(|value| value.as_bytes() == b"1");
@@ -446,7 +467,7 @@
     let (verdict, reason) = match (answer.status(), order.server.role) {
         (StatusCode::OK, Role::Writer | Role::Mixed) => {
             // Noted now: a report is of the time at which it came, and its stream may take seconds.
-            core.reported(&order.server, told);
+            core.record_load_report(&order.server, told);
             let mut tail = Tail::default();
             let source = Source::Awc(&mut answer, &lane);
             return match stream(way, &mut order, source, &mut tail, None).await {
@@ -465,7 +486,7 @@
                     match way.bare(&order, server, framing, client) {
                         Some(raw) => way.go_on(order, raw, tail).await,
                         None => {
-                            order.exchange.close(false);
+                            order.exchange.end_answer(false);
                             Some(over(&tail, Verdict::Reset, "handover-failed"))
                         }
                     }
@@ -501,11 +522,11 @@
     let kept = body.filter(|_| verdict == Verdict::Read);
     let kept =
         kept.and_then(|body| serde_json::from_slice::<Kept>(&body).ok()).map(|kept| kept.cached_tokens);
-    Some(Ended {
+    Some(AttemptResult {
         kept,
         report: told,
         unusable: reason == "unusable",
-        ..Ended::new(verdict, evidence, delivery, reason)
+        ..AttemptResult::new(verdict, evidence, delivery, reason)
     })
 }
 
@@ -563,7 +584,7 @@
     }
     let spoke_since = || {
         let read_by = lane.written_at().map(|written| written + MAX_TRANSIT);
-        read_by.is_some_and(|read_by| server.spoke.get().is_some_and(|spoke| spoke > read_by))
+        read_by.is_some_and(|read_by| server.last_heard.get().is_some_and(|spoke| spoke > read_by))
     };
     if repeat.is_none() || lane.delivery() != Delivery::Written || spoke_since() {
         std::future::pending::<()>().await;
@@ -623,13 +644,13 @@
 /// Passes a writer's stream on, as it comes. `began`: its answer has begun already, and says something by then.
 async fn stream(
     way: &Way<'_>,
-    order: &mut Order,
+    order: &mut AttemptOrder,
     mut source: Source<'_>,
     tail: &mut Tail,
     began: Option<Instant>,
 ) -> Relayed {
     let mut started = began.is_some();
-    let mut limit = began.unwrap_or(order.until);
+    let mut limit = began.unwrap_or(order.answer_by);
     let mut offers = Instant::now();
     // Its time is over, and what may have come meanwhile is looked for once more.
     let mut looks_again = false;
@@ -656,13 +677,13 @@
         };
         match next {
             Some(Ok(bytes)) => {
-                way.core.heard(&order.server);
+                way.core.record_activity(&order.server);
                 let Ok(events) = tail.feed(&bytes) else { break (Verdict::Spoilt, "garbage") };
                 if events.is_empty() {
                     continue;
                 }
                 if !started {
-                    if !way.core.started(order.request, order.attempt) {
+                    if !way.core.answer_began(order.request, order.attempt) {
                         break (Verdict::Cancelled, "not-wanted");
                     }
                     started = true;
@@ -690,7 +711,7 @@
         }
     };
     if started {
-        order.exchange.close(verdict == Verdict::Ok);
+        order.exchange.end_answer(verdict == Verdict::Ok);
     }
     Relayed::Over(over(tail, verdict, reason))
 }
@@ -702,11 +723,11 @@
 }
 
 /// Hands events to the client; waits while it is slow.
-async fn push(order: &mut Order, events: Bytes) -> Result<(), &'static str> {
+async fn push(order: &mut AttemptOrder, events: Bytes) -> Result<(), &'static str> {
     tokio::select! {
         biased;
         _ = &mut order.stop => Err("client-left"),
-        pushed = order.exchange.push(events) => pushed.map_err(|Left| "client-left"),
+        pushed = order.exchange.push(events) => pushed.map_err(|ClientLeft| "client-left"),
         () = actix_rt::time::sleep(SLOW_CLIENT) => Err("slow-client"),
     }
 }
@@ -729,7 +750,7 @@
     if !matches!(answered, Ok(Some(_))) {
         return ReleaseOutcome::Failed;
     }
-    at.spoke.set(Some(Instant::now()));
+    at.last_heard.set(Some(Instant::now()));
     pool.give(lane);
     ReleaseOutcome::Answered
 }
--- a/router/src/servers/link.rs
+++ b/router/src/servers/link.rs
@@ -71,8 +71,8 @@
     /// Why it must not begin now, if it must not.
     pub fn forbidden(&self, sign_of_life: SignOfLife) -> Option<NotBegun> {
         let facts = BeginFacts {
-            client_waits: self.exchange.waits(),
-            draining_for: self.server.told.get().map(|told| told.elapsed()),
+            client_waits: self.exchange.awaits_answer(),
+            draining_for: self.server.draining_since.get().map(|told| told.elapsed()),
             drain_grace: self.grace,
             time_left: self.latest.checked_duration_since(Instant::now()),
             sign_of_life,
@@ -132,7 +132,7 @@
         self.answered.set(true);
         self.heard.set(Some(now));
         if let Some(begin) = self.begin.borrow().as_ref() {
-            begin.server.spoke.set(Some(now));
+            begin.server.last_heard.set(Some(now));
         }
     }
 
@@ -734,7 +734,7 @@
             return lane.closing("unread-bytes");
         }
         // The request goes with its attempt, whatever becomes of its connection.
-        if lane.meter.begin.take().is_some_and(|begin| begin.server.told.get().is_some()) {
+        if lane.meter.begin.take().is_some_and(|begin| begin.server.draining_since.get().is_some()) {
             return lane.closing("server-left");
         }
         (lane.idle_since, lane.used) = (Instant::now(), true);
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -152,12 +152,12 @@
     let calls = CallPacer::new(settings.routers, seed);
     let core = Core::new(settings, names, terms, seed, None).ok()?;
     let sockets = shared.conditions.hollow_sockets;
-    core.connect(Fleet::new(core.clone(), links, sockets, terms, Handover::new(false)));
+    core.connect_servers(Fleet::new(core.clone(), links, sockets, terms, Handover::new(false)));
     let (updated_core, tracker) = (core.clone(), shared.tracker.clone());
     let on_update = move |update: Update| {
         let draining = update.entries.iter().filter(|entry| entry.state == ServerState::Leaving);
         let draining: Vec<String> = draining.map(|entry| entry.id.clone()).collect();
-        updated_core.listed(update);
+        updated_core.apply_list(update);
         draining.iter().for_each(|server| tracker.record_applied(server));
     };
     let discovery = shared.discovery;
@@ -186,7 +186,7 @@
         actix_rt::spawn(async move {
             let complete = match answer.opening().await {
                 Opening::Stream => loop {
-                    match poll_fn(|cx| answer.poll_piece(cx)).await {
+                    match poll_fn(|cx| answer.poll_chunk(cx)).await {
                         Some(Ok(_)) => {}
                         Some(Err(_)) => break false,
                         None => break true,
@@ -215,6 +215,6 @@
         idempotency_key: None,
         target: "/v1/chat/completions".to_owned(),
         body: Bytes::from_static(b"{\"model\":\"m\",\"stream\":true}"),
-        _held: None,
+        _reservation: None,
     }
 }
