--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -1,5 +1,5 @@
-//! The core: owns the module's `Router`, the clock, the timers and every open request, and carries out the
-//! module's actions. It knows no HTTP. The one final answer of each request is decided here alone.
+//! The core. Owns the decision module's [`Router`], the clock, the timers and all open requests, and carries out the
+//! decision module's actions. Independent of HTTP. The only place that gives a request its one final answer.
 
 mod leases;
 mod repeats;
@@ -31,38 +31,38 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// An answer is due so long before the client gives up: it has to get there, and the client's clock started
-/// when it sent the request.
-const ANSWER_EARLY: Duration = Duration::from_millis(15);
-/// A request that is still open so long after its deadline is failed whatever the module thinks. Guards
-/// against a request that nobody answers.
-const OVERDUE: Duration = Duration::from_millis(5);
-/// An answer that is so late is lost, whatever it says.
-const ANSWER_LOST: Duration = Duration::from_millis(500);
+/// An answer is due this long before the client gives up: it still has to reach the client, whose clock started when
+/// it sent the request.
+const ANSWER_MARGIN: Duration = Duration::from_millis(15);
+/// A request still unanswered this long after its deadline is failed, whatever the decision module does. Without this
+/// a request could stay unanswered for ever.
+const OVERDUE_GRACE: Duration = Duration::from_millis(5);
+/// An answer later than this after the deadline is lost to the client, and violates an invariant.
+const ANSWER_LOST_AFTER: Duration = Duration::from_millis(500);
 
-/// The decisions hear so often of a server whose streams go on.
-const HEARD_EVERY: Duration = Duration::from_millis(40);
+/// Shortest interval between two `Activity` events for a server.
+const ACTIVITY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A server as the core and the servers' side know it.
+/// A server of the list, shared by the core and the servers' side.
 pub struct Server {
-    /// Its name in the list.
+    /// Its id in the list.
     pub label: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Since when it is known to take nothing new.
+    /// Since when it is known to take no new requests.
     pub draining_since: Cell<Option<Instant>>,
-    /// When the decisions were last told that it says something.
+    /// When the decision module last got an `Activity` event for it.
     pub last_activity_event: Cell<Option<Instant>>,
-    /// When something was last read from its process.
+    /// When bytes were last received from its process.
     pub last_heard: Cell<Option<Instant>>,
-    /// When discovery told of it as a server that was not listed before.
+    /// When discovery announced it as a new server; none if it came with a complete list.
     pub announced_at: Option<Instant>,
 }
 
 impl Server {
-    /// A server of which nothing is known but its entry.
+    /// A server of which only the list entry is known.
     fn new(label: String, address: SocketAddr, role: Role, announced_at: Option<Instant>) -> Rc<Self> {
         let (draining_since, last_activity_event, last_heard) = Default::default();
         Rc::new(Server {
@@ -77,56 +77,56 @@
     }
 }
 
-/// One attempt, as the servers' side gets it.
+/// An attempt for the servers' side to carry out.
 pub struct AttemptOrder {
-    /// The request and its answer's way back.
+    /// The request and the stream for its answer.
     pub exchange: Rc<Exchange>,
-    /// Its number in the core.
+    /// The request's id.
     pub request: RequestId,
     /// The attempt's number.
     pub attempt: Attempt,
-    /// Where to.
+    /// The server to send it to.
     pub server: Rc<Server>,
-    /// When to stop waiting for a first token or the end of the read.
+    /// Latest time for a writer's first token or the end of a read.
     pub answer_by: Instant,
-    /// The client's deadline, told to the server.
+    /// The request's deadline, which is sent to the server.
     pub deadline: Instant,
-    /// When what is held for the request has to be let go, unless its last byte is written by then.
+    /// When the request's leases have to be released, unless the attempt's last byte is written by then.
     pub write_by: Option<Instant>,
-    /// What binds it as a repeat; none where no attempt may have run before it.
+    /// Its limits as a repeat; none if no earlier attempt may have run.
     pub repeat: Option<RepeatLimits>,
-    /// It must not be begun before this says so, and tells that time anew: what is held is being let go of.
+    /// If set, a release is in progress: the attempt must not start before this sends a new `write_by`.
     pub release_done: Option<oneshot::Receiver<Option<Instant>>>,
-    /// Ends the attempt early.
+    /// Cancels the attempt.
     pub stop: oneshot::Receiver<()>,
 }
 
-/// How an attempt ended, as the servers' side tells it.
+/// How an attempt ended, as reported by the servers' side.
 pub struct AttemptResult {
-    /// How.
+    /// The verdict.
     pub verdict: Verdict,
-    /// Prompt tokens found kept.
+    /// Prompt tokens found in the server's prefix cache.
     pub kept: Option<f64>,
-    /// What the server says that the request used.
+    /// Token usage reported by the server.
     pub used: Option<Tokens>,
-    /// The server's report.
+    /// The server's load report.
     pub report: Option<Report>,
-    /// How that is known.
+    /// Where the verdict comes from.
     pub evidence: Evidence,
-    /// How far it came.
+    /// How much of it reached the server.
     pub delivery: Delivery,
-    /// A reason for the log.
+    /// The reason in the log.
     pub reason: &'static str,
-    /// The server works and says that it can't use the request.
+    /// A healthy server rejected the request itself as unusable.
     pub unusable: bool,
-    /// For how long its connection had been idle; none if it was new.
+    /// How long its connection had been idle before; none if it was new.
     pub idle: Option<Duration>,
-    /// Its connection, for the log; none where it has none.
+    /// Its connection, for the log; none if there was none.
     pub connection: Option<Traced>,
 }
 
 impl AttemptResult {
-    /// An attempt that told nothing but how it ended.
+    /// A result without anything from the server's answer.
     pub fn new(verdict: Verdict, evidence: Evidence, delivery: Delivery, reason: &'static str) -> Self {
         AttemptResult {
             verdict,
@@ -142,214 +142,220 @@
         }
     }
 
-    /// It was never sent.
+    /// The result of an attempt that was never sent.
     pub fn unsent(verdict: Verdict, reason: &'static str) -> Self {
         AttemptResult::new(verdict, Evidence::Router, Delivery::Unsent, reason)
     }
 }
 
-/// The servers' side.
+/// The servers' side: connections to servers.
 pub trait Servers {
-    /// Starts an attempt; [`Core::started`] and [`Core::ended`] hear of it, never before this returns.
+    /// Starts an attempt. [`Core::answer_began`] and [`Core::attempt_ended`] are only called after this has returned.
     fn send(&self, order: AttemptOrder);
-    /// Asks a server to let go of all that is held for a request.
+    /// Asks a server to release all that it holds for a request.
     fn release(&self, label: Rc<str>, at: Rc<Server>) -> Pin<Box<dyn Future<Output = ReleaseOutcome>>>;
-    /// A server takes nothing new, or moved: its idle connections can go.
+    /// Closes the idle connections to a server that drains, has left or has a new address.
     fn retire(&self, server: &Server);
 }
 
-/// A timer that ends with what it watches. Guards against one that outlives its request by all of its budget.
-struct Alarm(actix_rt::task::JoinHandle<()>);
+/// A task that is aborted on drop. Otherwise a timer could outlive its request by the whole budget.
+struct AbortOnDrop(actix_rt::task::JoinHandle<()>);
 
-impl Drop for Alarm {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Requests of one class that have ended, by how.
+/// Ended requests of one class, by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
-    /// Answered whole.
+    /// Answered completely.
     pub served: u64,
-    /// Refused: trying again is harmless.
+    /// Refused: a retry is harmless.
     pub refused: u64,
-    /// Failed, broken off or unusable.
+    /// Failed, answered incompletely or unusable.
     pub failed: u64,
-    /// Their clients left before.
+    /// The client left before the end.
     pub left: u64,
 }
 
-/// How a request ended that never reached the module.
+/// How a request ended that was never submitted to the decision module.
 #[derive(Clone, Copy, Debug)]
 pub enum NotSubmitted {
-    /// It was refused: there was no room for it.
+    /// Refused for lack of capacity.
     Refused,
-    /// What came made no sense, or never came whole.
+    /// Invalid or incomplete.
     Failed,
-    /// Its client left.
+    /// The client left.
     Left,
 }
 
-struct Open {
+/// A request that has been submitted and has not ended.
+struct OpenRequest {
     exchange: Rc<Exchange>,
-    _overdue: Option<Alarm>,
+    _overdue_timer: Option<AbortOnDrop>,
     deadline: Instant,
     attempts: u32,
-    /// What the attempts prove, on the module's clock.
+    /// What its attempts prove, on the decision module's clock.
     history: Attempts<ServerId>,
+    /// The server of the attempt in flight, and how to cancel it; the latter is none once it was cancelled.
     current: Option<(Rc<Server>, Option<oneshot::Sender<()>>)>,
-    /// What was held for it was let go of while an attempt was out.
-    overdue: bool,
-    /// Lets an attempt begin that waits for a release.
-    go: Option<oneshot::Sender<Option<Instant>>>,
-    /// How long it waited for its first attempt, and until its prompt was read.
-    sent: Option<Duration>,
-    read: Option<Duration>,
-    /// Prompt tokens that its reader found kept.
+    /// Its leases were released while an attempt was in flight.
+    released_under_attempt: bool,
+    /// Starts the attempt that waits for a release.
+    release_done: Option<oneshot::Sender<Option<Instant>>>,
+    /// Time from its arrival to its first attempt.
+    sent_after: Option<Duration>,
+    /// Time from its arrival to the end of its read.
+    read_after: Option<Duration>,
+    /// Prompt tokens found in the reader's prefix cache.
     kept: Option<f64>,
-    /// How long its first event took.
-    first: Option<Duration>,
-    /// The last reader and the last other server that it was sent to.
+    /// Time from its arrival to the first event of its answer.
+    first_event_after: Option<Duration>,
+    /// The last reader and the last other server to which it was sent.
     route: [Option<Rc<Server>>; 2],
+    /// Its answer's stream has begun.
     started: bool,
+    /// Its final answer is decided, or its client has left.
     answered: bool,
-    left: bool,
-    /// Its final outcome was told.
-    done: Cell<bool>,
+    client_left: bool,
+    /// Its final outcome was counted and logged.
+    outcome_recorded: Cell<bool>,
 }
 
-/// What the list says of a server, for who keeps connections there.
+/// An update of a server in the list, for the owner of long-lived connections.
 pub struct ServerUpdate {
     /// The server.
     pub server: ServerId,
-    /// Its kind; nothing is told of one that the list has dropped.
+    /// Its kind; none if the list has dropped it.
     pub kind: Option<KindId>,
-    /// Whether it takes work.
+    /// Its state in the list.
     pub state: ServerState,
-    /// Unix time of its last start; none for long ago.
+    /// Unix time of its last start; none if that was long ago.
     pub up_since: Option<Time>,
 }
 
-/// Hears of the list.
-type OnNews = Rc<dyn Fn(&[ServerUpdate])>;
+/// Called with updates of the server list.
+type OnListUpdate = Rc<dyn Fn(&[ServerUpdate])>;
 
-/// Goes on with a client's connection by itself.
-type Bare = Rc<dyn Fn(ClientEnd, TcpStream)>;
+/// Writes the rest of an answer to a detached client connection.
+type ServeDetached = Rc<dyn Fn(ClientEnd, TcpStream)>;
 
-/// See the module's page.
+/// The core of one router.
 pub struct Core {
     router: RefCell<Router>,
     names: shedrelay_settings::Names,
     roles: Vec<Role>,
-    /// What repeats of each class do.
-    repeats: Vec<RepeatPolicy>,
-    open: RefCell<HashMap<RequestId, Open>>,
-    /// What is held at servers for requests.
+    /// The repeat policy of each class.
+    repeat_policies: Vec<RepeatPolicy>,
+    requests: RefCell<HashMap<RequestId, OpenRequest>>,
+    /// Leases on what servers hold for requests.
     leases: RefCell<Leases<Rc<str>>>,
     releases: Releases,
     repeat_counts: RepeatCounts,
+    /// Ids of open requests as clients and servers know them.
     labels: RefCell<HashMap<String, RequestId>>,
     list: RefCell<HashMap<ServerId, Rc<Server>>>,
-    /// When servers started, whatever the wall clock says.
+    /// Start times of servers, independent of steps of the wall clock.
     start_times: RefCell<StartTimes>,
     servers: RefCell<Option<Rc<dyn Servers>>>,
-    /// Who goes on with a client's connection that was given up.
-    bare: RefCell<Option<Bare>>,
-    /// Who keeps long-lived connections.
-    on_news: RefCell<Option<OnNews>>,
-    /// One for each class: a class that is not known adds none.
-    tallies: RefCell<Vec<OutcomeCounts>>,
+    serve_detached: RefCell<Option<ServeDetached>>,
+    /// The owner of long-lived connections.
+    on_list_update: RefCell<Option<OnListUpdate>>,
+    /// By class, in the order of the settings. An unknown class is not counted.
+    outcome_counts: RefCell<Vec<OutcomeCounts>>,
     dispatches: Rc<Cell<u64>>,
-    /// How long the module took for each event.
+    /// How long the decision module took for each event.
     decisions: Option<Histogram>,
-    /// The usage ledger, where there is one.
+    /// The usage ledger, if one is kept.
     usage: Option<Rc<Usage>>,
-    /// Rules that were broken.
+    /// Counts of violated invariants.
     violations: Violations,
-    born: Instant,
-    unix: u64,
-    last: Cell<u64>,
-    me: Weak<Core>,
+    started_at: Instant,
+    /// Unix time at `started_at`, in nanoseconds.
+    unix_start_ns: u64,
+    last_request_id: Cell<u64>,
+    weak_self: Weak<Core>,
 }
 
 impl Core {
-    /// A core that knows no server yet.
+    /// A core without servers.
     pub fn new(
         settings: Settings,
         names: shedrelay_settings::Names,
-        terms: LeaseConfig,
+        lease_config: LeaseConfig,
         seed: u64,
         usage: Option<Rc<Usage>>,
     ) -> Result<Rc<Self>, SettingsError> {
         let roles = settings.kinds.iter().map(|kind| kind.role).collect();
-        let repeats = settings.classes.iter().map(|class| class.effect.repeat()).collect();
-        // What a reader of the log needs to tell what was late.
+        let repeat_policies = settings.classes.iter().map(|class| class.effect.repeat()).collect();
+        // The log's readers need the aims to tell which requests were late.
         for (name, class) in names.classes.iter().zip(&settings.classes) {
-            let (aim, more) = (class.aim.secs() * 1e3, class.aim_per_1000.secs() * 1e3);
-            log!("class name={name:?} aim_ms={aim} aim_per_1000_ms={more} worth={}", class.worth);
+            let (aim, per_1000) = (class.aim.secs() * 1e3, class.aim_per_1000.secs() * 1e3);
+            log!("class name={name:?} aim_ms={aim} aim_per_1000_ms={per_1000} worth={}", class.worth);
         }
         let router = Router::new(settings, seed)?;
-        let tallies = RefCell::new(vec![OutcomeCounts::default(); names.classes.len()]);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Ok(Rc::new_cyclic(|me| Core {
+        let outcome_counts = RefCell::new(vec![OutcomeCounts::default(); names.classes.len()]);
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Ok(Rc::new_cyclic(|weak| Core {
             router: RefCell::new(router),
             names,
             roles,
-            repeats,
-            open: RefCell::default(),
-            leases: RefCell::new(Leases::new(terms)),
+            repeat_policies,
+            requests: RefCell::default(),
+            leases: RefCell::new(Leases::new(lease_config)),
             releases: Releases::default(),
             repeat_counts: RepeatCounts::default(),
             labels: RefCell::default(),
             list: RefCell::default(),
             start_times: RefCell::default(),
             servers: RefCell::default(),
-            bare: RefCell::default(),
-            on_news: RefCell::default(),
-            tallies,
+            serve_detached: RefCell::default(),
+            on_list_update: RefCell::default(),
+            outcome_counts,
             dispatches: Rc::default(),
             decisions: decision_times(),
             usage,
             violations: Violations::default(),
-            born: Instant::now(),
-            unix: unix.as_nanos() as u64,
-            last: Cell::new(0),
-            me: me.clone(),
+            started_at: Instant::now(),
+            unix_start_ns: unix_start.as_nanos() as u64,
+            last_request_id: Cell::new(0),
+            weak_self: weak.clone(),
         }))
     }
 
-    /// Connects the servers' side.
+    /// Sets the servers' side.
     pub fn connect_servers(&self, servers: Rc<dyn Servers>) {
         *self.servers.borrow_mut() = Some(servers);
     }
 
-    /// Connects the clients' side, for connections that were given up.
-    pub fn connect_detached(&self, clients: impl Fn(ClientEnd, TcpStream) + 'static) {
-        *self.bare.borrow_mut() = Some(Rc::new(clients));
+    /// Sets what writes the rest of an answer to a detached client connection.
+    pub fn connect_detached(&self, serve: impl Fn(ClientEnd, TcpStream) + 'static) {
+        *self.serve_detached.borrow_mut() = Some(Rc::new(serve));
     }
 
-    /// Goes on with a client's connection that was given up.
+    /// Goes on with an answer on a detached client connection.
     pub fn serve_detached(&self, end: ClientEnd, socket: TcpStream) {
-        let bare = self.bare.borrow().clone();
-        if let Some(bare) = bare {
-            bare(end, socket);
+        let serve = self.serve_detached.borrow().clone();
+        if let Some(serve) = serve {
+            serve(end, socket);
         }
     }
 
-    /// Connects who keeps long-lived connections: it hears of the list after the module.
-    pub fn connect_live(&self, hear: impl Fn(&[ServerUpdate]) + 'static) {
-        *self.on_news.borrow_mut() = Some(Rc::new(hear));
+    /// Sets what is called with updates of the server list, each time after the decision module.
+    pub fn connect_live(&self, callback: impl Fn(&[ServerUpdate]) + 'static) {
+        *self.on_list_update.borrow_mut() = Some(Rc::new(callback));
     }
 
-    /// The module's choice of a server for one more long-lived connection.
-    pub fn place_connection(&self, among: &[ServerId]) -> Option<ServerId> {
-        self.router.borrow_mut().place_connection(self.now(), among)
+    /// Lets the decision module choose a server for a long-lived connection.
+    pub fn place_connection(&self, candidates: &[ServerId]) -> Option<ServerId> {
+        self.router.borrow_mut().place_connection(self.now(), candidates)
     }
 
-    /// What long-lived connections weigh at a server has changed by so many tokens.
-    pub fn add_connection_load(&self, at: ServerId, tokens: f64) {
-        self.router.borrow_mut().add_connection_load(at, tokens);
+    /// Changes a server's load from long-lived connections by this many tokens.
+    pub fn add_connection_load(&self, server: ServerId, tokens: f64) {
+        self.router.borrow_mut().add_connection_load(server, tokens);
     }
 
     /// A listed server.
@@ -357,17 +363,17 @@
         self.list.borrow().get(&id).cloned()
     }
 
-    /// A customer's name; empty where there is none.
+    /// A tenant's name; empty if there is none.
     pub fn tenant_name(&self, tenant: Option<TenantId>) -> &str {
         tenant.and_then(|tenant| self.names.tenants.get(tenant.0)).map_or("", |name| name)
     }
 
-    /// What a request is billed by, where a ledger is kept.
+    /// What a request is billed by, if a ledger is kept.
     pub fn bill(&self, call: &crate::exchange::Call) -> Option<Bill> {
         Some(self.usage.as_ref()?.bill(call, self.tenant_name(call.tenant)))
     }
 
-    /// The usage ledger, where there is one.
+    /// The usage ledger, if one is kept.
     pub fn usage(&self) -> Option<&Usage> {
         self.usage.as_deref()
     }
@@ -377,42 +383,42 @@
         self.names.classes.get(class.0).map_or("-", |name| name)
     }
 
-    /// Names used on the wire.
+    /// The names in the settings.
     pub fn names(&self) -> &shedrelay_settings::Names {
         &self.names
     }
 
-    /// The module's clock: Unix time at the start, and monotonic from there. It never goes back; the list's start times
-    /// are put on it by [`StartTimes`].
+    /// The decision module's clock: Unix time at the start of the process, monotonic from there on. [`StartTimes`]
+    /// converts the list's start times to it.
     pub fn now(&self) -> Time {
-        Time(self.unix + self.born.elapsed().as_nanos() as u64)
+        Time(self.unix_start_ns + self.started_at.elapsed().as_nanos() as u64)
     }
 
-    /// Whether a request could be served: a server that reads and one that writes are listed.
+    /// Whether the list has a server to read and one to write that do not drain.
     pub fn can_serve(&self) -> bool {
         let list = self.list.borrow();
         let has = |role| list.values().any(|s| s.draining_since.get().is_none() && s.role == role);
         has(Role::Mixed) || (has(Role::Reader) && has(Role::Writer))
     }
 
-    /// Requests that have not ended yet.
+    /// How many requests have not ended yet.
     pub fn open_requests(&self) -> usize {
-        self.open.borrow().len()
+        self.requests.borrow().len()
     }
 
-    /// Ids in use and servers listed: neither outlives what it is for.
+    /// How many request ids are in use and how many servers are listed; shows leaks when the process stops.
     pub fn table_sizes(&self) -> (usize, usize) {
         (self.labels.borrow().len(), self.list.borrow().len())
     }
 
-    // Figures.
+    // Metrics.
 
-    /// What has ended, for each class in their order.
+    /// Ended requests by class, in the order of the settings.
     pub fn outcome_counts(&self) -> Vec<OutcomeCounts> {
-        self.tallies.borrow().clone()
+        self.outcome_counts.borrow().clone()
     }
 
-    /// Attempts written whole; counted at the connection, where alone that is seen.
+    /// Attempts written completely, as counted by their connections.
     pub fn dispatches(&self) -> u64 {
         self.dispatches.get()
     }
@@ -422,58 +428,58 @@
         self.decisions.clone()
     }
 
-    /// Where they are counted.
+    /// The counter behind [`Core::dispatches`].
     pub fn dispatch_counter(&self) -> Rc<Cell<u64>> {
         self.dispatches.clone()
     }
 
-    /// Requests taken that have not ended for their clients: an attempt that is still out after its request's
-    /// final answer counts for nothing here.
+    /// Requests that have not ended for their clients. A request whose attempt is still in flight after its final
+    /// answer does not count.
     pub fn concurrent(&self) -> usize {
-        let open = self.open.borrow();
-        open.values().filter(|open| !open.left && (!open.answered || open.started)).count()
+        let requests = self.requests.borrow();
+        requests.values().filter(|open| !open.client_left && (!open.answered || open.started)).count()
     }
 
-    /// Servers listed, and how many of them the module avoids now.
+    /// How many servers are listed, and how many of these the decision module excludes now.
     pub fn targets(&self) -> (usize, usize) {
         (self.list.borrow().len(), self.router.borrow().excluded_servers(self.now()))
     }
 
-    /// A request of this class ended before it could be submitted. One whose class is not known counts nowhere.
-    pub fn count_not_submitted(&self, class: Option<ClassId>, how: NotSubmitted) {
-        let mut tallies = self.tallies.borrow_mut();
-        let Some(tally) = class.and_then(|class| tallies.get_mut(class.0)) else { return };
-        match how {
-            NotSubmitted::Refused => tally.refused += 1,
-            NotSubmitted::Failed => tally.failed += 1,
-            NotSubmitted::Left => tally.left += 1,
+    /// Counts a request that ended before it was submitted. An unknown class is not counted.
+    pub fn count_not_submitted(&self, class: Option<ClassId>, end: NotSubmitted) {
+        let mut counts = self.outcome_counts.borrow_mut();
+        let Some(counts) = class.and_then(|class| counts.get_mut(class.0)) else { return };
+        match end {
+            NotSubmitted::Refused => counts.refused += 1,
+            NotSubmitted::Failed => counts.failed += 1,
+            NotSubmitted::Left => counts.left += 1,
         }
     }
 
-    // The list.
+    // The server list.
 
-    /// An update of the list.
+    /// Applies an update of the server list.
     pub fn apply_list(&self, update: Update) {
-        let mut gone = Vec::new();
+        let mut retired = Vec::new();
         let mut members = Vec::new();
-        // So many of those that are gone are on the list no more.
+        // The first this many of `retired` have left the list.
         let mut dropped = 0;
         {
             let mut list = self.list.borrow_mut();
             let now = Instant::now();
             if update.complete {
-                // A set: each known server is looked up in it, at 1,024 of them as at ten.
-                let named: HashSet<ServerId> = update.entries.iter().map(|e| server_id(&e.id)).collect();
-                for (id, server) in list.iter().filter(|(id, _)| !named.contains(id)) {
-                    tell(server, now);
-                    gone.push((*id, server.clone()));
+                // A set, so that a complete list is applied in linear time with 1,024 servers too.
+                let listed: HashSet<ServerId> = update.entries.iter().map(|e| server_id(&e.id)).collect();
+                for (id, server) in list.iter().filter(|(id, _)| !listed.contains(id)) {
+                    mark_draining(server, now);
+                    retired.push((*id, server.clone()));
                     self.start_times.borrow_mut().dropped(id.0, self.lease_time());
                 }
-                list.retain(|id, _| named.contains(id));
-                dropped = gone.len();
+                list.retain(|id, _| listed.contains(id));
+                dropped = retired.len();
             }
             for entry in &update.entries {
-                let Some(member) = self.member(entry, update.current) else { continue };
+                let Some(member) = self.list_member(entry, update.current) else { continue };
                 let role = self.roles[member.kind.0];
                 let same = |known: &&Rc<Server>| known.address == entry.address && known.role == role;
                 let known = list.get(&member.server).filter(same);
@@ -488,16 +494,16 @@
                 if member.state == ServerState::Active {
                     server.draining_since.set(None);
                 } else {
-                    tell(&server, now);
-                    gone.push((member.server, server.clone()));
+                    mark_draining(&server, now);
+                    retired.push((member.server, server.clone()));
                 }
                 if let Some(old) = list.insert(member.server, server.clone())
                     && !Rc::ptr_eq(&old, &server)
                 {
-                    tell(&old, now);
-                    gone.push((member.server, old));
+                    mark_draining(&old, now);
+                    retired.push((member.server, old));
                 }
-                // Guards against a list that grows with each server that ever was.
+                // Otherwise the list would grow with every server that ever joined.
                 if member.state == ServerState::Left {
                     list.remove(&member.server);
                     self.start_times.borrow_mut().dropped(member.server.0, self.lease_time());
@@ -507,52 +513,52 @@
         }
         self.start_times.borrow_mut().sweep(self.lease_time());
         if let Some(servers) = self.servers.borrow().as_ref() {
-            gone.iter().for_each(|(_, server)| servers.retire(server));
+            retired.iter().for_each(|(_, server)| servers.retire(server));
         }
-        let on_news = self.on_news.borrow().clone();
-        let news = on_news.is_some().then(|| {
-            let dropped = gone[..dropped].iter().map(|(id, _)| ServerUpdate {
+        let on_list_update = self.on_list_update.borrow().clone();
+        let updates = on_list_update.is_some().then(|| {
+            let dropped = retired[..dropped].iter().map(|(id, _)| ServerUpdate {
                 server: *id,
                 kind: None,
                 state: ServerState::Left,
                 up_since: None,
             });
-            let told = members.iter().map(|member| ServerUpdate {
+            let listed = members.iter().map(|member| ServerUpdate {
                 server: member.server,
                 kind: Some(member.kind),
                 state: member.state,
                 up_since: member.up_since,
             });
-            dropped.chain(told).collect::<Vec<ServerUpdate>>()
+            dropped.chain(listed).collect::<Vec<ServerUpdate>>()
         });
         self.handle(Event::Members(match update.complete {
             true => Members::Full(members),
             false => Members::Changes(members),
         }));
-        if let (Some(hear), Some(news)) = (on_news, news) {
-            hear(&news);
+        if let (Some(callback), Some(updates)) = (on_list_update, updates) {
+            callback(&updates);
         }
     }
 
-    /// When a server started, on the module's clock; none for long ago.
-    fn start_of(&self, entry: &Entry, current: Option<Instant>) -> Option<Time> {
+    /// When a server started, on the decision module's clock; none if that was long ago.
+    fn start_time(&self, entry: &Entry, current: Option<Instant>) -> Option<Time> {
         if entry.up_since_ms == 0 {
             return None;
         }
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clocks = Clocks { monotonic: self.lease_time(), wall };
-        let current = current.map(|at| self.monotonic(at));
+        let current = current.map(|at| self.lease_time_at(at));
         let stamp = Duration::from_millis(entry.up_since_ms);
         let start = self.start_times.borrow_mut().listed(server_id(&entry.id).0, stamp, clocks, current);
         Some(Time(start.as_nanos() as u64))
     }
 
-    /// The module's clock at an instant.
-    fn monotonic(&self, at: Instant) -> Duration {
-        Duration::from_nanos(self.unix) + at.saturating_duration_since(self.born)
+    /// The time of leases at an instant.
+    fn lease_time_at(&self, at: Instant) -> Duration {
+        Duration::from_nanos(self.unix_start_ns) + at.saturating_duration_since(self.started_at)
     }
 
-    fn member(&self, entry: &Entry, current: Option<Instant>) -> Option<Member> {
+    fn list_member(&self, entry: &Entry, current: Option<Instant>) -> Option<Member> {
         let Some(kind) = self.names.kinds.iter().position(|kind| *kind == entry.kind) else {
             log!("list dropped server={:?} reason=unknown-kind", entry.id);
             return None;
@@ -564,30 +570,30 @@
             kind: KindId(kind),
             zone: ZoneId(zone),
             cell: CellId(entry.cell),
-            up_since: self.start_of(entry, current),
+            up_since: self.start_time(entry, current),
         })
     }
 
     // Requests.
 
-    /// Takes a request. None if one with its id is still open.
+    /// Submits a request. None if one with its id is still open.
     pub fn submit(&self, exchange: Rc<Exchange>) -> Option<ClientEnd> {
         let call = &exchange.call;
-        let id = RequestId(self.last.get() + 1);
-        let budget = call.budget.saturating_sub(ANSWER_EARLY);
+        let id = RequestId(self.last_request_id.get() + 1);
+        let budget = call.budget.saturating_sub(ANSWER_MARGIN);
         let deadline = call.arrived + budget;
         if self.labels.borrow().contains_key(&call.label) {
             return None;
         }
-        self.last.set(id.0);
+        self.last_request_id.set(id.0);
         self.labels.borrow_mut().insert(call.label.clone(), id);
-        let me = self.me.clone();
-        exchange.on_leave(move || {
-            if let Some(core) = me.upgrade() {
-                core.gone(id);
+        let weak = self.weak_self.clone();
+        exchange.on_client_left(move || {
+            if let Some(core) = weak.upgrade() {
+                core.client_left(id);
             }
         });
-        let ask = Request {
+        let request = Request {
             id,
             session: call.session,
             prefix: call.prefix,
@@ -598,61 +604,61 @@
             class: call.class,
             tenant: call.tenant,
         };
-        let me = self.me.clone();
-        let overdue = Alarm(actix_rt::spawn(async move {
-            actix_rt::time::sleep_until((deadline + OVERDUE).into()).await;
-            if let Some(core) = me.upgrade() {
-                core.overdue(id);
+        let weak = self.weak_self.clone();
+        let overdue_timer = AbortOnDrop(actix_rt::spawn(async move {
+            actix_rt::time::sleep_until((deadline + OVERDUE_GRACE).into()).await;
+            if let Some(core) = weak.upgrade() {
+                core.fail_overdue(id);
             }
         }));
-        let open = Open {
+        let open = OpenRequest {
             exchange: exchange.clone(),
-            _overdue: Some(overdue),
+            _overdue_timer: Some(overdue_timer),
             deadline,
             attempts: 0,
             history: Attempts::default(),
             current: None,
-            overdue: false,
-            go: None,
-            sent: None,
-            read: None,
+            released_under_attempt: false,
+            release_done: None,
+            sent_after: None,
+            read_after: None,
             kept: None,
-            first: None,
+            first_event_after: None,
             route: [None, None],
             started: false,
             answered: false,
-            left: false,
-            done: Cell::new(false),
+            client_left: false,
+            outcome_recorded: Cell::new(false),
         };
         if let Some(usage) = &self.usage {
             usage.came(id, &exchange.call, self.tenant_name(exchange.call.tenant));
         }
-        self.open.borrow_mut().insert(id, open);
-        self.handle(Event::Request(ask));
+        self.requests.borrow_mut().insert(id, open);
+        self.handle(Event::Request(request));
         Some(ClientEnd::new(exchange))
     }
 
-    fn gone(&self, id: RequestId) {
-        match self.open.borrow_mut().get_mut(&id) {
-            Some(open) if !open.left && !open.answered => {
-                (open.left, open.answered) = (true, true);
-                self.done(id, open, "client-left", None);
+    fn client_left(&self, id: RequestId) {
+        match self.requests.borrow_mut().get_mut(&id) {
+            Some(open) if !open.client_left && !open.answered => {
+                (open.client_left, open.answered) = (true, true);
+                self.record_outcome(id, open, "client-left", None);
             }
-            Some(open) if !open.left && open.started => {
-                open.left = true;
-                // A stream that nobody reads ends.
-                if let Some(stop) = open.current.as_mut().and_then(|current| current.1.take()) {
-                    let _ = stop.send(());
+            Some(open) if !open.client_left && open.started => {
+                open.client_left = true;
+                // Cancels the attempt: nobody reads its stream any more.
+                if let Some(cancel) = open.current.as_mut().and_then(|current| current.1.take()) {
+                    let _ = cancel.send(());
                 }
             }
             _ => return,
         }
         self.handle(Event::ClientLeft(id));
-        self.settle(id);
+        self.remove_if_finished(id);
     }
 
-    /// Goes on with a stream that another process began: it is open here until it ends, counts as any other, and the
-    /// module, which has not sent it, is not asked about it. None if its id is in use.
+    /// Continues a stream that another process began. It is an open request here until it ends, and counts like any
+    /// other; the decision module is not involved, since it has not sent it. None if its id is in use.
     pub fn take_over(
         &self,
         exchange: Rc<Exchange>,
@@ -663,38 +669,38 @@
         if self.labels.borrow().contains_key(&exchange.call.label) {
             return None;
         }
-        let request = RequestId(self.last.get() + 1);
-        self.last.set(request.0);
+        let request = RequestId(self.last_request_id.get() + 1);
+        self.last_request_id.set(request.0);
         let known = self.list.borrow().values().find(|server| server.label == label).cloned();
         let server = known
             .filter(|server| server.address == address)
             .unwrap_or_else(|| Server::new(label.to_owned(), address, Role::Writer, None));
         self.labels.borrow_mut().insert(exchange.call.label.clone(), request);
-        let (stop, stopped) = oneshot::channel();
+        let (cancel, stop) = oneshot::channel();
         let now = Instant::now();
-        let open = Open {
+        let open = OpenRequest {
             exchange: exchange.clone(),
-            _overdue: None,
+            _overdue_timer: None,
             deadline: now,
             attempts: 1,
             history: Attempts::default(),
-            current: Some((server.clone(), Some(stop))),
-            overdue: false,
-            go: None,
-            sent: None,
-            read: None,
+            current: Some((server.clone(), Some(cancel))),
+            released_under_attempt: false,
+            release_done: None,
+            sent_after: None,
+            read_after: None,
             kept: None,
-            first: None,
+            first_event_after: None,
             route: [None, None],
             started: true,
             answered: true,
-            left: false,
-            done: Cell::new(false),
+            client_left: false,
+            outcome_recorded: Cell::new(false),
         };
         if let (Some(usage), Some(bill)) = (&self.usage, bill) {
             usage.carried(request, bill);
         }
-        self.open.borrow_mut().insert(request, open);
+        self.requests.borrow_mut().insert(request, open);
         let end = self.reattach_client(request, &exchange);
         let attempt = Attempt(0);
         let order = AttemptOrder {
@@ -707,24 +713,24 @@
             write_by: None,
             repeat: None,
             release_done: None,
-            stop: stopped,
+            stop,
         };
         Some((order, end))
     }
 
-    /// A new client's end for a stream whose client's connection was given up.
+    /// A new client's end for a stream whose client connection was detached.
     pub fn reattach_client(&self, request: RequestId, exchange: &Rc<Exchange>) -> ClientEnd {
-        let me = self.me.clone();
+        let weak = self.weak_self.clone();
         ClientEnd::reattach(exchange.clone(), move || {
-            if let Some(core) = me.upgrade() {
-                core.gone(request);
+            if let Some(core) = weak.upgrade() {
+                core.client_left(request);
             }
         })
     }
 
-    /// A stream goes on in another process, which counts it.
+    /// A stream was handed over to another process, which counts its request.
     pub fn handed_over(&self, request: RequestId, attempt: Attempt) {
-        let Some(open) = self.open.borrow_mut().remove(&request) else { return };
+        let Some(open) = self.requests.borrow_mut().remove(&request) else { return };
         self.labels.borrow_mut().remove(&open.exchange.call.label);
         log!("request id={} outcome=handed-over", open.exchange.call.label);
         if let Some(usage) = &self.usage {
@@ -736,105 +742,105 @@
         self.handle(Event::Outcome(outcome));
     }
 
-    /// The module never leaves a request so long; if it does, the client still gets its answer.
-    fn overdue(&self, id: RequestId) {
-        let late = self.open.borrow().get(&id).is_some_and(|open| !open.answered);
-        if late {
+    /// Fails a request that the decision module has left unanswered past its deadline, so the client gets an answer.
+    fn fail_overdue(&self, id: RequestId) {
+        let unanswered = self.requests.borrow().get(&id).is_some_and(|open| !open.answered);
+        if unanswered {
             log!("request overdue number={}", id.0);
             self.answer(id, Opening::Failed);
             self.handle(Event::ClientLeft(id));
-            self.settle(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// An attempt's answer begins: from here on it belongs to the client. False if the client has an answer
-    /// already or left.
+    /// An attempt's answer has begun, and becomes the request's final answer. False if the client has already been
+    /// answered or has left.
     pub fn answer_began(&self, request: RequestId, attempt: Attempt) -> bool {
         {
-            let mut all = self.open.borrow_mut();
-            let Some(open) = all.get_mut(&request) else { return false };
+            let mut requests = self.requests.borrow_mut();
+            let Some(open) = requests.get_mut(&request) else { return false };
             if open.answered || open.attempts != attempt.0 + 1 {
                 return false;
             }
             (open.started, open.answered) = (true, true);
-            open.first = Some(open.exchange.call.arrived.elapsed());
-            // With the first event all that is held goes by itself.
+            open.first_event_after = Some(open.exchange.call.arrived.elapsed());
+            // With the first event, servers release all that they hold for the request.
             self.leases.borrow_mut().answer_began(request.0, self.lease_time());
-            if open.overdue {
+            if open.released_under_attempt {
                 self.releases.count_needless();
             }
             open.exchange.begin_answer(Opening::Stream);
         }
-        // A release that was under way ends.
+        // Stops releases that are in progress for it.
         self.poll_leases();
         self.handle(Event::FirstToken { request, attempt });
         true
     }
 
-    /// Something of an answer came from a server. Told on at intervals: a stream has many events.
+    /// Part of an answer has come from a server. Passed on at intervals, since a stream has many events.
     pub fn record_activity(&self, server: &Server) {
         let now = Instant::now();
-        if server.last_activity_event.get().is_none_or(|heard| now.duration_since(heard) >= HEARD_EVERY) {
+        if server.last_activity_event.get().is_none_or(|last| now.duration_since(last) >= ACTIVITY_INTERVAL) {
             server.last_activity_event.set(Some(now));
             self.handle(Event::Activity(server_id(&server.label)));
         }
     }
 
-    /// A server told its load ahead of an answer's end.
+    /// A server has reported its load before the end of an answer.
     pub fn record_load_report(&self, server: &Server, report: Option<Report>) {
         if report.is_some() {
             self.handle(Event::Probed { server: server_id(&server.label), ok: true, report });
         }
     }
 
-    /// An attempt ended.
-    pub fn attempt_ended(&self, request: RequestId, attempt: Attempt, ended: AttemptResult) {
-        let mut verdict = ended.verdict;
-        if ended.unusable {
-            // No other server could use it either, and none is to blame.
+    /// An attempt has ended.
+    pub fn attempt_ended(&self, request: RequestId, attempt: Attempt, result: AttemptResult) {
+        let mut verdict = result.verdict;
+        if result.unusable {
+            // No other server could process it either, and the server is not at fault.
             self.answer(request, Opening::Unusable);
         }
         let settled = {
-            let mut all = self.open.borrow_mut();
-            let Some(open) = all.get_mut(&request) else { return };
+            let mut requests = self.requests.borrow_mut();
+            let Some(open) = requests.get_mut(&request) else { return };
             let Some((server, _)) = open.current.take() else { return };
             let reads = server.role == Role::Reader;
-            let (at, now) = (server_id(&server.label).0, self.lease_time());
+            let (server_id, now) = (server_id(&server.label).0, self.lease_time());
             let mut leases = self.leases.borrow_mut();
-            let end = attempt_end(&ended);
+            let end = attempt_end(&result);
             let label = || Rc::from(open.exchange.call.label.as_str());
             if verdict == Verdict::Read {
-                leases.read_ended(request.0, &label(), at, now);
-                open.read = Some(open.exchange.call.arrived.elapsed());
-                open.kept = ended.kept;
-            } else if reads && ended.delivery.may_have_run() && verdict != Verdict::Full {
-                // The read may have ended well at the very moment its connection ended.
-                leases.read_lost(request.0, &label(), at, end, now);
+                leases.read_ended(request.0, &label(), server_id, now);
+                open.read_after = Some(open.exchange.call.arrived.elapsed());
+                open.kept = result.kept;
+            } else if reads && result.delivery.may_have_run() && verdict != Verdict::Full {
+                // The read may have succeeded just when its connection ended.
+                leases.read_lost(request.0, &label(), server_id, end, now);
             } else {
-                leases.attempt_ended(request.0, at, end, now);
+                leases.attempt_ended(request.0, server_id, end, now);
             }
-            open.go = None;
+            open.release_done = None;
             drop(leases);
-            if !ended.delivery.may_have_run() && verdict == Verdict::Cancelled {
-                // Never sent whole: it proves that it never ran.
+            if !result.delivery.may_have_run() && verdict == Verdict::Cancelled {
+                // It was not sent completely, so it never ran.
                 verdict = if open.answered { Verdict::Moot } else { Verdict::NoRoute };
             }
-            if !reads && ended.evidence == Evidence::Silence && open.history.first_possible_run().is_some() {
+            if !reads && result.evidence == Evidence::Silence && open.history.first_possible_run().is_some() {
                 self.repeat_counts.count_unconfirmed();
             }
-            open.history.end(match ended.delivery.may_have_run() {
-                true => verdict.proof(reads, ended.evidence),
+            open.history.end(match result.delivery.may_have_run() {
+                true => verdict.proof(reads, result.evidence),
                 false => Proof::NeverSent,
             });
             if open.started {
-                let how = match (open.left, verdict) {
+                let outcome = match (open.client_left, verdict) {
                     (_, Verdict::Ok) => "served",
                     (true, _) => "client-left",
                     (false, _) => "broken",
                 };
-                self.done(request, open, how, ended.used);
-                if open.left {
-                    // Nothing speaks against a server whose reader went away.
+                self.record_outcome(request, open, outcome, result.used);
+                if open.client_left {
+                    // The server is not at fault if the client left.
                     verdict = Verdict::Ok;
                 }
             }
@@ -846,77 +852,77 @@
                     server.label,
                     if reads { "reader" } else { "writer" },
                     verdict,
-                    ended.reason,
-                    ms(ended.idle),
-                    ended.delivery,
-                    ended.connection.map_or(0, |connection| connection.port),
-                    ms(ended.connection.and_then(|connection| connection.heard))
+                    result.reason,
+                    log_millis(result.idle),
+                    result.delivery,
+                    result.connection.map_or(0, |connection| connection.port),
+                    log_millis(result.connection.and_then(|connection| connection.heard))
                 );
             }
             open.answered
         };
-        let AttemptResult { kept, report, evidence, .. } = ended;
+        let AttemptResult { kept, report, evidence, .. } = result;
         let outcome = Outcome { request, attempt, verdict, evidence, settled, kept, report };
         self.handle(Event::Outcome(outcome));
-        self.settle(request);
+        self.remove_if_finished(request);
     }
 
-    /// The final answer, if the client has none yet.
+    /// Gives the final answer, if the client has none yet.
     fn answer(&self, id: RequestId, opening: Opening) {
-        if let Some(open) = self.open.borrow_mut().get_mut(&id).filter(|open| !open.answered) {
+        if let Some(open) = self.requests.borrow_mut().get_mut(&id).filter(|open| !open.answered) {
             open.answered = true;
-            if Instant::now() > open.deadline + ANSWER_LOST {
+            if Instant::now() > open.deadline + ANSWER_LOST_AFTER {
                 self.record_violation(Invariant::AnswerInTime, &format!("id={}", open.exchange.call.label));
             }
             open.exchange.begin_answer(opening);
-            let how = match opening {
+            let outcome = match opening {
                 Opening::Failed => "failed",
                 Opening::Unusable => "unusable",
                 _ => "refused",
             };
-            self.done(id, open, how, None);
+            self.record_outcome(id, open, outcome, None);
         }
     }
 
-    /// The final answer is a refusal, or a failure where the attempts don't prove that trying again is harmless. The
-    /// module asks the same; here what it does not know of an attempt that is out counts too.
+    /// Gives a refusal as the final answer, or a failure if the attempts don't prove that a retry is harmless. The
+    /// decision module checks the same, but without what is known here of an attempt in flight.
     fn refuse(&self, id: RequestId, back_off: Option<Duration>) {
         let now = self.lease_time();
-        let may_refuse = |open: &Open| {
-            let repeat = self.repeat(open.exchange.call.class);
-            open.history.may_refuse(repeat, now, back_off.unwrap_or_default())
+        let may_refuse = |open: &OpenRequest| {
+            let policy = self.repeat_policy(open.exchange.call.class);
+            open.history.may_refuse(policy, now, back_off.unwrap_or_default())
         };
-        let allowed = self.open.borrow().get(&id).is_none_or(may_refuse);
+        let allowed = self.requests.borrow().get(&id).is_none_or(may_refuse);
         self.answer(id, if allowed { Opening::Refused(back_off) } else { Opening::Failed });
     }
 
-    /// What repeats of a class do. One that is not known here is repeated by nobody.
-    fn repeat(&self, class: ClassId) -> RepeatPolicy {
-        self.repeats.get(class.0).copied().unwrap_or(RepeatPolicy::Never)
+    /// The repeat policy of a class. Requests of an unknown class are never repeated.
+    fn repeat_policy(&self, class: ClassId) -> RepeatPolicy {
+        self.repeat_policies.get(class.0).copied().unwrap_or(RepeatPolicy::Never)
     }
 
-    /// Fails every request that still waits for its answer, and calls its attempt off: the process is about to end, and
-    /// a client whose connection closes without an answer takes its request for one that was never read.
+    /// Fails all requests without a final answer and cancels their attempts. Used when the process is about to end: a
+    /// client whose connection closes without an answer would assume that its request was never read.
     pub fn fail_all(&self) {
         let waiting: Vec<RequestId> = {
-            let open = self.open.borrow();
-            open.iter().filter(|(_, open)| !open.answered).map(|(id, _)| *id).collect()
+            let requests = self.requests.borrow();
+            requests.iter().filter(|(_, open)| !open.answered).map(|(id, _)| *id).collect()
         };
         for id in waiting {
-            let stop = |open: &mut Open| open.current.as_mut().and_then(|current| current.1.take());
-            if let Some(stop) = self.open.borrow_mut().get_mut(&id).and_then(stop) {
-                let _ = stop.send(());
+            let cancel = |open: &mut OpenRequest| open.current.as_mut().and_then(|current| current.1.take());
+            if let Some(cancel) = self.requests.borrow_mut().get_mut(&id).and_then(cancel) {
+                let _ = cancel.send(());
             }
             self.answer(id, Opening::Failed);
             self.handle(Event::ClientLeft(id));
-            self.settle(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// One line for each request: its final outcome, which is counted here alone.
-    fn done(&self, id: RequestId, open: &Open, outcome: &str, tokens: Option<Tokens>) {
+    /// Counts and logs a request's final outcome. The only place that does.
+    fn record_outcome(&self, id: RequestId, open: &OpenRequest, outcome: &str, tokens: Option<Tokens>) {
         let call = &open.exchange.call;
-        if open.done.replace(true) {
+        if open.outcome_recorded.replace(true) {
             return self.record_violation(
                 Invariant::OneFinalAnswer,
                 &format!("id={} outcome={outcome}", call.label),
@@ -933,12 +939,12 @@
             };
             usage.ended(id, used);
         }
-        if let Some(tally) = self.tallies.borrow_mut().get_mut(call.class.0) {
+        if let Some(counts) = self.outcome_counts.borrow_mut().get_mut(call.class.0) {
             match outcome {
-                "served" => tally.served += 1,
-                "refused" => tally.refused += 1,
-                "client-left" => tally.left += 1,
-                _ => tally.failed += 1,
+                "served" => counts.served += 1,
+                "refused" => counts.refused += 1,
+                "client-left" => counts.left += 1,
+                _ => counts.failed += 1,
             }
         }
         log!(
@@ -947,24 +953,24 @@
             self.class_name(call.class),
             outcome,
             open.attempts,
-            ms(open.first),
-            ms(open.sent),
-            ms(open.read),
+            log_millis(open.first_event_after),
+            log_millis(open.sent_after),
+            log_millis(open.read_after),
             call.arrived.elapsed().as_millis(),
             call.prompt_len,
             open.kept.map_or_else(|| "-".to_owned(), |kept| kept.to_string()),
             tokens.map_or_else(|| "-".to_owned(), |used| used.written.to_string()),
-            label(&open.route[0]),
-            label(&open.route[1])
+            server_label(&open.route[0]),
+            server_label(&open.route[1])
         );
     }
 
-    /// Forgets a request that has its answer and no attempt out; what is held for it has to go.
-    fn settle(&self, id: RequestId) {
+    /// Removes a request that has its final answer and no attempt in flight. Its leases are then released.
+    fn remove_if_finished(&self, id: RequestId) {
         {
-            let mut all = self.open.borrow_mut();
-            if all.get(&id).is_some_and(|open| open.answered && open.current.is_none())
-                && let Some(open) = all.remove(&id)
+            let mut requests = self.requests.borrow_mut();
+            if requests.get(&id).is_some_and(|open| open.answered && open.current.is_none())
+                && let Some(open) = requests.remove(&id)
             {
                 self.labels.borrow_mut().remove(&open.exchange.call.label);
                 self.leases.borrow_mut().request_closed(id.0, self.lease_time());
@@ -973,14 +979,14 @@
         self.poll_leases();
     }
 
-    // The module.
+    // The decision module.
 
     fn handle(&self, event: Event) {
         let mut actions = Vec::new();
-        let began = Instant::now();
+        let started = Instant::now();
         self.router.borrow_mut().handle(self.now(), event, &mut actions);
         if let Some(decisions) = &self.decisions {
-            decisions.observe(began.elapsed().as_secs_f64());
+            decisions.observe(started.elapsed().as_secs_f64());
         }
         let released = |action: &Action| match action {
             Action::Release(request) => Some(*request),
@@ -988,56 +994,59 @@
         };
         let released: Vec<RequestId> = actions.iter().filter_map(released).collect();
         actions.into_iter().for_each(|action| self.perform(action));
-        released.into_iter().for_each(|request| self.settle(request));
+        released.into_iter().for_each(|request| self.remove_if_finished(request));
     }
 
     fn perform(&self, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.send(request, server, timeout),
             Action::Cancel { request, attempt } => {
-                let mut all = self.open.borrow_mut();
-                let open = all.get_mut(&request).filter(|open| open.attempts == attempt.0 + 1);
-                if let Some(stop) = open.and_then(|o| o.current.as_mut()).and_then(|c| c.1.take()) {
-                    let _ = stop.send(());
+                let mut requests = self.requests.borrow_mut();
+                let open = requests.get_mut(&request).filter(|open| open.attempts == attempt.0 + 1);
+                if let Some(cancel) =
+                    open.and_then(|open| open.current.as_mut()).and_then(|current| current.1.take())
+                {
+                    let _ = cancel.send(());
                 }
             }
             Action::Refuse { request, backoff } => {
                 self.refuse(request, backoff.map(Duration::from));
-                self.later(request);
+                self.remove_later(request);
             }
             Action::Fail(request) => {
                 self.answer(request, Opening::Failed);
-                self.later(request);
+                self.remove_later(request);
             }
             Action::Release(request) => {
                 self.leases.borrow_mut().release(request.0, self.lease_time());
             }
             Action::Timer { timer, after } => {
-                let me = self.me.clone();
+                let weak = self.weak_self.clone();
                 actix_rt::spawn(async move {
                     actix_rt::time::sleep(Duration::from_nanos(after.0)).await;
-                    if let Some(core) = me.upgrade() {
+                    if let Some(core) = weak.upgrade() {
                         core.handle(Event::Timer(timer));
                     }
                 });
             }
-            // Probes are not allowed where this router works, and the list is watched without being asked.
+            // The platform of this router forbids probes, and the list is always watched.
             Action::Probe(_) | Action::Subscribe => {}
         }
     }
 
-    /// A release may follow the final answer in the same batch: the request is kept until then.
-    fn later(&self, id: RequestId) {
-        let me = self.me.clone();
+    /// Removes a finished request after the current batch of actions, which may still contain its release.
+    fn remove_later(&self, id: RequestId) {
+        let weak = self.weak_self.clone();
         actix_rt::spawn(async move {
-            if let Some(core) = me.upgrade() {
-                core.settle(id);
+            if let Some(core) = weak.upgrade() {
+                core.remove_if_finished(id);
             }
         });
     }
 
-    /// Whether one more attempt may be sent. The module asks the same before; here a violation is counted.
-    fn check_send(&self, open: &Open) -> bool {
+    /// Whether one more attempt may be sent. The decision module has checked the same before, so a no is counted as a
+    /// violation.
+    fn check_send(&self, open: &OpenRequest) -> bool {
         let label = &open.exchange.call.label;
         if open.current.is_some() || open.history.in_flight() {
             self.record_violation(
@@ -1046,9 +1055,9 @@
             );
             return false;
         }
-        // Which servers drop repeats together is the module's to know.
-        let repeat = self.repeat(open.exchange.call.class);
-        let allowed = open.history.may_repeat(repeat, self.lease_time(), |_| true);
+        // Only the decision module knows which servers deduplicate together, so any server passes here.
+        let policy = self.repeat_policy(open.exchange.call.class);
+        let allowed = open.history.may_repeat(policy, self.lease_time(), |_| true);
         if !allowed {
             self.record_violation(
                 Invariant::RepeatPermitted,
@@ -1058,30 +1067,30 @@
         allowed
     }
 
-    /// A rule was broken: it is counted and logged, and a debug build ends here.
+    /// Counts and logs the violation of an invariant; a debug build panics.
     pub fn record_violation(&self, rule: Invariant, what: &str) {
         self.violations.record(rule);
         log!("invariant violated rule={} {what}", rule.name());
         debug_assert!(false, "invariant violated: {} {what}", rule.name());
     }
 
-    /// How often each rule was broken.
+    /// How often each invariant was violated.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
     fn send(&self, id: RequestId, to: ServerId, timeout: Option<Span>) {
-        let me = self.me.clone();
-        let mut all = self.open.borrow_mut();
-        let Some(open) = all.get_mut(&id) else { return };
+        let weak = self.weak_self.clone();
+        let mut requests = self.requests.borrow_mut();
+        let Some(open) = requests.get_mut(&id) else { return };
         let attempt = Attempt(open.attempts);
         open.attempts += 1;
         let server = self.list.borrow().get(&to).cloned();
         let allowed = self.check_send(open);
         let Some(server) = server.filter(|_| allowed) else {
-            // Never sent; the module hears so after this batch.
+            // Not sent; the decision module gets the outcome after this batch of actions.
             actix_rt::spawn(async move {
-                let Some(core) = me.upgrade() else { return };
+                let Some(core) = weak.upgrade() else { return };
                 let verdict = Verdict::Moot;
                 let outcome = Outcome {
                     request: id,
@@ -1093,14 +1102,14 @@
                     report: None,
                 };
                 core.handle(Event::Outcome(outcome));
-                core.settle(id);
+                core.remove_if_finished(id);
             });
             return;
         };
-        let (stop, stopped) = oneshot::channel();
-        open.current = Some((server.clone(), Some(stop)));
+        let (cancel, stop) = oneshot::channel();
+        open.current = Some((server.clone(), Some(cancel)));
         open.route[usize::from(server.role != Role::Reader)] = Some(server.clone());
-        open.sent.get_or_insert_with(|| open.exchange.call.arrived.elapsed());
+        open.sent_after.get_or_insert_with(|| open.exchange.call.arrived.elapsed());
         let now = Instant::now();
         let repeat = self.repeat_limits(open, &server);
         open.history.begin(to, self.lease_time());
@@ -1108,63 +1117,65 @@
         {
             Permission::Now { write_by } => (write_by.map(|at| self.instant(at)), None),
             Permission::AfterRelease => {
-                let (go, release_done) = oneshot::channel();
-                open.go = Some(go);
+                let (sender, release_done) = oneshot::channel();
+                open.release_done = Some(sender);
                 (None, Some(release_done))
             }
         };
-        let wait = timeout.map_or(open.deadline, |t| now + Duration::from_nanos(t.0));
+        let answer_by = timeout.map_or(open.deadline, |timeout| now + Duration::from_nanos(timeout.0));
         let order = AttemptOrder {
             exchange: open.exchange.clone(),
             request: id,
             attempt,
             server,
-            answer_by: wait.min(open.deadline),
+            answer_by: answer_by.min(open.deadline),
             deadline: open.deadline,
             write_by,
             repeat,
             release_done,
-            stop: stopped,
+            stop,
         };
-        drop(all);
+        drop(requests);
         if let Some(servers) = self.servers.borrow().as_ref() {
             servers.send(order);
         }
     }
 }
 
-/// Times of decisions: 2 us to 65 ms, doubling. None if the library turns its name down, which it does not.
+/// The histogram of decision times, with buckets from 2 us to 65 ms that double. None if the library rejects its name,
+/// which it does not.
 fn decision_times() -> Option<Histogram> {
     let buckets = prometheus::exponential_buckets(2e-6, 2.0, 16).ok()?;
-    let told =
+    let options =
         HistogramOpts::new("router_decision_seconds", "Time that the decision module took for an event.");
-    Histogram::with_opts(told.buckets(buckets)).ok()
+    Histogram::with_opts(options.buckets(buckets)).ok()
 }
 
-/// A time that may be none, for the log.
-fn ms(time: Option<Duration>) -> String {
+/// Milliseconds for the log, `-` for none.
+fn log_millis(time: Option<Duration>) -> String {
     time.map_or_else(|| "-".to_owned(), |time| time.as_millis().to_string())
 }
 
-/// A server that may be none, for the log.
-fn label(server: &Option<Rc<Server>>) -> &str {
+/// A server's label for the log, `-` for none.
+fn server_label(server: &Option<Rc<Server>>) -> &str {
     server.as_ref().map_or("-", |server| &server.label)
 }
 
-fn tell(server: &Server, now: Instant) {
+/// Notes and logs that a server drains, unless that is known already.
+fn mark_draining(server: &Server, now: Instant) {
     if server.draining_since.get().is_none() {
         server.draining_since.set(Some(now));
         log!("list drains server={}", server.label);
     }
 }
 
-/// What the end of an attempt proves to the owner of leases.
-fn attempt_end(ended: &AttemptResult) -> AttemptEnd {
-    match (ended.delivery, ended.evidence) {
+/// What the end of an attempt means for its leases.
+fn attempt_end(result: &AttemptResult) -> AttemptEnd {
+    match (result.delivery, result.evidence) {
         (Delivery::Unsent, _) => AttemptEnd::NotSent,
-        (Delivery::Written, Evidence::Server) if ended.verdict == Verdict::Closed => AttemptEnd::Closed,
+        (Delivery::Written, Evidence::Server) if result.verdict == Verdict::Closed => AttemptEnd::Closed,
         (Delivery::Written, _) => AttemptEnd::Unanswered,
-        (Delivery::Arrived | Delivery::Answered, _) if ended.verdict == Verdict::NoState => {
+        (Delivery::Arrived | Delivery::Answered, _) if result.verdict == Verdict::NoState => {
             AttemptEnd::StateNotFound
         }
         (Delivery::Arrived | Delivery::Answered, _) => AttemptEnd::Answered,
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -1,6 +1,6 @@
-//! Carries out what the owner of leases says: whom to ask for a release, when it is next due, and what is told of it.
+//! Carries out the actions of `fawnstream-leases`: sends releases, sets the timer for the next ones, logs and counts.
 
-use super::{Alarm, Core, Server, label, server_id};
+use super::{AbortOnDrop, Core, Server, server_id, server_label};
 use crate::log;
 use fawnstream_attempts::invariants::Invariant;
 use fawnstream_leases::{Action, LateReason, ReleaseCounts, ReleaseOutcome, ReleaseProof};
@@ -10,55 +10,58 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Releases that are under way, and what was counted of them.
+/// Releases in progress, and their counts.
 #[derive(Default)]
 pub(super) struct Releases {
-    /// When leases are looked at next.
-    alarm: RefCell<Option<(Duration, Alarm)>>,
-    /// Who is being asked, by request.
-    calls: RefCell<HashMap<u64, Vec<(ServerId, Alarm)>>>,
-    overdue: Cell<u64>,
+    /// The timer for the next poll of the leases, and when it is due.
+    timer: RefCell<Option<(Duration, AbortOnDrop)>>,
+    /// Release calls in progress, by request.
+    calls: RefCell<HashMap<u64, Vec<(ServerId, AbortOnDrop)>>>,
+    /// Requests whose leases were released while an attempt was in flight.
+    under_attempt: Cell<u64>,
+    /// Those of them whose attempt was answered after all.
     needless: Cell<u64>,
 }
 
 impl Releases {
-    fn count_overdue(&self) {
-        self.overdue.set(self.overdue.get() + 1);
+    fn count_under_attempt(&self) {
+        self.under_attempt.set(self.under_attempt.get() + 1);
     }
 
-    /// An attempt was answered under which its state had been let go of.
+    /// Counts an attempt that was answered although the state it needed had been released.
     pub(super) fn count_needless(&self) {
         self.needless.set(self.needless.get() + 1);
     }
 }
 
 impl Core {
-    /// The clock of leases: the module's.
+    /// The clock of the leases, which is the decision module's.
     pub(super) fn lease_time(&self) -> Duration {
         Duration::from_nanos(self.now().0)
     }
 
     pub(super) fn instant(&self, lease_time: Duration) -> Instant {
-        self.born + lease_time.saturating_sub(Duration::from_nanos(self.unix))
+        self.started_at + lease_time.saturating_sub(Duration::from_nanos(self.unix_start_ns))
     }
 
-    /// Requests for which something is held or being released, and those for which something was held too long.
+    /// How many requests have leases, and how many had leases that were released too late.
     pub fn lease_counts(&self) -> (usize, u64) {
         let leases = self.leases.borrow();
         (leases.len(), leases.late_count())
     }
 
-    /// Releases that were answered, by kind.
+    /// Counts of answered releases, by kind.
     pub fn release_counts(&self) -> ReleaseCounts {
         self.leases.borrow().release_counts()
     }
 
-    /// Requests of which something was let go of while an attempt was out, and those of them whose attempt was answered.
+    /// How many requests had leases released while an attempt was in flight, and for how many of them the attempt was
+    /// answered after all.
     pub fn overdue_leases(&self) -> (u64, u64) {
-        (self.releases.overdue.get(), self.releases.needless.get())
+        (self.releases.under_attempt.get(), self.releases.needless.get())
     }
 
-    /// Carries out what the owner of leases says, now and when it is next due.
+    /// Carries out the lease actions that are due, and sets the timer for the next ones.
     pub(super) fn poll_leases(&self) {
         let mut unlisted = Vec::new();
         loop {
@@ -76,7 +79,7 @@
             for action in actions {
                 match action {
                     Action::SendRelease { request, label, server } => match self.server(ServerId(server)) {
-                        Some(at) => self.send_release(request, label, at),
+                        Some(server) => self.send_release(request, label, server),
                         None => unlisted.push((request, server)),
                     },
                     Action::ReleasedUnderAttempt { request, reader, held } => {
@@ -84,14 +87,16 @@
                     }
                     Action::ReleasesEnded { request, write_by } => {
                         self.releases.calls.borrow_mut().remove(&request);
-                        let mut all = self.open.borrow_mut();
-                        if let Some(go) = all.get_mut(&RequestId(request)).and_then(|open| open.go.take()) {
-                            let _ = go.send(write_by.map(|at| self.instant(at)));
+                        let mut requests = self.requests.borrow_mut();
+                        if let Some(release_done) =
+                            requests.get_mut(&RequestId(request)).and_then(|open| open.release_done.take())
+                        {
+                            let _ = release_done.send(write_by.map(|at| self.instant(at)));
                         }
                     }
                     Action::ReleaseLate { label, reader, held, reason } => {
-                        let at = self.server(ServerId(reader));
-                        let (ms, server) = (held.as_millis(), self::label(&at));
+                        let reader = self.server(ServerId(reader));
+                        let (ms, server) = (held.as_millis(), server_label(&reader));
                         log!(
                             "hold late id={label} server={server} held_ms={ms} reason={}",
                             reason_name(reason)
@@ -99,78 +104,78 @@
                         self.violations.record(Invariant::LeaseReleased);
                     }
                     Action::LeaseAbandoned { label, reader } => {
-                        let at = self.server(ServerId(reader));
-                        log!("hold forgotten id={label} server={}", self::label(&at));
+                        let reader = self.server(ServerId(reader));
+                        log!("hold forgotten id={label} server={}", server_label(&reader));
                     }
                 }
             }
         }
         let next = self.leases.borrow().next_due();
-        if self.releases.alarm.borrow().as_ref().map(|(at, _)| *at) == next {
+        if self.releases.timer.borrow().as_ref().map(|(at, _)| *at) == next {
             return;
         }
-        let me = self.me.clone();
-        *self.releases.alarm.borrow_mut() = next.map(|next| {
+        let weak = self.weak_self.clone();
+        *self.releases.timer.borrow_mut() = next.map(|next| {
             let at = self.instant(next);
-            let wait = async move {
+            let poll_when_due = async move {
                 actix_rt::time::sleep_until(at.into()).await;
-                let Some(core) = me.upgrade() else { return };
-                // Not its own task: that would end with the alarm that the next one replaces.
-                let alarm = core.releases.alarm.borrow_mut().take();
+                let Some(core) = weak.upgrade() else { return };
+                // Taken out first: replacing the timer would abort this task, which belongs to it.
+                let timer = core.releases.timer.borrow_mut().take();
                 core.poll_leases();
-                drop(alarm);
+                drop(timer);
             };
-            (next, Alarm(actix_rt::spawn(wait)))
+            (next, AbortOnDrop(actix_rt::spawn(poll_when_due)))
         });
     }
 
-    /// What was held for a request is released though an attempt is out: nothing says that it arrived.
-    fn released_under_attempt(&self, id: RequestId, at: u64, held: Duration) {
+    /// A request's leases are released while an attempt is in flight, since nothing shows that it has arrived.
+    fn released_under_attempt(&self, id: RequestId, reader: u64, held: Duration) {
         {
-            let mut all = self.open.borrow_mut();
-            let Some(open) = all.get_mut(&id) else { return };
-            open.overdue = true;
-            self.releases.count_overdue();
-            let holder = self.server(ServerId(at));
+            let mut requests = self.requests.borrow_mut();
+            let Some(open) = requests.get_mut(&id) else { return };
+            open.released_under_attempt = true;
+            self.releases.count_under_attempt();
+            let reader = self.server(ServerId(reader));
             let sent_to = open.current.as_ref().map(|(server, _)| server.clone());
             log!(
                 "hold overdue id={} server={} held_ms={} try={} sent_to={}",
                 open.exchange.call.label,
-                label(&holder),
+                server_label(&reader),
                 held.as_millis(),
                 open.attempts.saturating_sub(1),
-                label(&sent_to)
+                server_label(&sent_to)
             );
         }
         self.handle(Event::LeaseReleased(id));
     }
 
-    /// Asks a server to release what is held for a request.
-    fn send_release(&self, request: u64, label: Rc<str>, at: Rc<Server>) {
+    /// Asks a server to release what it holds for a request.
+    fn send_release(&self, request: u64, label: Rc<str>, server: Rc<Server>) {
         let Some(servers) = self.servers.borrow().clone() else { return };
-        let (me, server) = (self.me.clone(), server_id(&at.label));
+        let (weak, id) = (self.weak_self.clone(), server_id(&server.label));
         let call = async move {
-            let outcome = servers.release(label.clone(), at.clone()).await;
-            let Some(core) = me.upgrade() else { return };
+            let outcome = servers.release(label.clone(), server.clone()).await;
+            let Some(core) = weak.upgrade() else { return };
             if outcome != ReleaseOutcome::Unsent {
                 let ok = outcome == ReleaseOutcome::Answered;
-                core.handle(Event::Probed { server, ok, report: None });
+                core.handle(Event::Probed { server: id, ok, report: None });
             }
             let proof = {
                 let (mut leases, router) = (core.leases.borrow_mut(), core.router.borrow());
-                leases.release_ended(request, server.0, outcome, core.lease_time(), router.reach())
+                leases.release_ended(request, id.0, outcome, core.lease_time(), router.reach())
             };
             if let Some(proof) = proof {
-                log!("hold released id={label} by={} proof={}", at.label, proof_name(proof));
+                log!("hold released id={label} by={} proof={}", server.label, proof_name(proof));
             }
             core.poll_leases();
         };
-        let call = Alarm(actix_rt::spawn(call));
-        self.releases.calls.borrow_mut().entry(request).or_default().push((server, call));
+        let call = AbortOnDrop(actix_rt::spawn(call));
+        self.releases.calls.borrow_mut().entry(request).or_default().push((id, call));
     }
 }
 
-/// What the answer of a release proves, for the log.
+/// What the answer to a release proves, for the log.
 fn proof_name(proof: ReleaseProof) -> &'static str {
     match proof {
         ReleaseProof::Conclusive => "conclusive",
@@ -179,7 +184,7 @@
     }
 }
 
-/// Why something is held too long, for the log.
+/// Why a lease was released too late, for the log.
 fn reason_name(reason: LateReason) -> &'static str {
     match reason {
         LateReason::Unanswered => "unanswered",
--- a/router/src/core/repeats.rs
+++ b/router/src/core/repeats.rs
@@ -1,32 +1,33 @@
-//! What binds an attempt that repeats one that may have run, at servers that drop repeats for a while.
+//! Limits for repeats, which are attempts after one that may have run. Servers drop repeats within a deduplication
+//! window.
 //!
-//! A server's machine takes what comes while its process stands still, and the process reads it when it goes on, also behind
-//! the reset of its connection. So a repeat must reach a process that runs, while the repeat is still dropped.
+//! While a server's process is paused, its machine still receives data, and the process reads it when it resumes, even
+//! after its connection was reset. So a repeat must reach a running process while the window is still open.
 
-use super::{Core, Open, Server};
+use super::{Core, OpenRequest, Server};
 use fawnstream_attempts::{MAX_TRANSIT, RepeatPolicy};
 use shedrelay::Role;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// A repeat has to reach its server within the time for which repeats are dropped: it is on its way for no longer.
-const ON_THE_WAY: Duration = Duration::from_millis(20);
-/// Discovery "knows only whether a process runs": a server that it has just told of for the first time is taken to run for
-/// so long. What was never heard of it cannot be asked for more in the time that a repeat has.
-const ANNOUNCED_LASTS: Duration = Duration::from_secs(1);
+/// Time allowed for a repeat to reach its server, which must be before the deduplication window ends.
+const DELIVERY_TIME: Duration = Duration::from_millis(20);
+/// A server that discovery has announced for the first time counts as running for this long: discovery "knows only
+/// whether a process runs", and a repeat's time is too short to learn more about a server never heard from.
+const ANNOUNCED_TTL: Duration = Duration::from_secs(1);
 
-/// What binds a repeat.
+/// Limits for a repeat.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatLimits {
-    /// Its first byte is written by then or never: later it would no longer be known as a repeat.
+    /// Its first byte must be written by then; later the server might not recognise it as a repeat.
     pub begin_by: Instant,
-    /// It is given up then, unless its server has said something since it was written.
+    /// It is given up then, unless something was received from its server since it was written.
     pub unheard_until: Instant,
-    /// Its server has to show that it runs before the first byte is written.
+    /// Whether its server must show that it runs before the first byte is written.
     pub needs_sign_of_life: bool,
 }
 
-/// What became of repeats, as operators see it.
+/// Counts of repeats, for the metrics.
 #[derive(Debug, Default)]
 pub struct RepeatCounts {
     shown: Cell<u64>,
@@ -36,24 +37,23 @@
 }
 
 impl RepeatCounts {
-    /// A server was asked whether it runs.
+    /// Counts a check of whether a server runs.
     pub fn count_asked(&self, answered: bool) {
         let count = if answered { &self.shown } else { &self.not_shown };
         count.set(count.get() + 1);
     }
 
-    /// A repeat was sent to a server that discovery had just told of.
+    /// Counts a repeat sent to a server that discovery had just announced.
     fn count_announced(&self) {
         self.announced.set(self.announced.get() + 1);
     }
 
-    /// A repeat was written whole and given up with nothing heard for it: its server may read it late.
+    /// Counts a repeat that was written completely and given up without any response: its server may read it late.
     pub(super) fn count_unconfirmed(&self) {
         self.unconfirmed.set(self.unconfirmed.get() + 1);
     }
 
-    /// By what repeats were sent, or not, in this order: servers that showed that they run, servers that did not, and
-    /// servers that were just announced.
+    /// Repeats by the sign of life of their server: shown, not shown (these were not sent), or just announced.
     pub fn by_sign(&self) -> [(&'static str, u64); 3] {
         [
             ("shown", self.shown.get()),
@@ -62,35 +62,35 @@
         ]
     }
 
-    /// Repeats that were written whole and given up with nothing heard for them.
+    /// Repeats that were written completely and given up without any response.
     pub fn unconfirmed(&self) -> u64 {
         self.unconfirmed.get()
     }
 }
 
 impl Core {
-    /// What became of repeats.
+    /// Counts of repeats.
     pub fn repeat_counts(&self) -> &RepeatCounts {
         &self.repeat_counts
     }
 
-    /// What binds the next attempt of a request at a server, if it is a repeat. A read has no effect.
-    pub(super) fn repeat_limits(&self, open: &Open, server: &Server) -> Option<RepeatLimits> {
+    /// The limits for a request's next attempt at a server, if it is a repeat. None at a reader: a read has no effect.
+    pub(super) fn repeat_limits(&self, open: &OpenRequest, server: &Server) -> Option<RepeatLimits> {
         let (RepeatPolicy::DedupEverywhere(window) | RepeatPolicy::DedupInGroup(window)) =
-            self.repeat(open.exchange.call.class)
+            self.repeat_policy(open.exchange.call.class)
         else {
             return None;
         };
-        let ran = open.history.first_possible_run().filter(|_| server.role != Role::Reader)?;
-        let before_end = |reserve: Duration| self.instant((ran.at + window).saturating_sub(reserve));
+        let first = open.history.first_possible_run().filter(|_| server.role != Role::Reader)?;
+        let before_window_end = |reserve: Duration| self.instant((first.at + window).saturating_sub(reserve));
         let announced = server.last_heard.get().is_none()
-            && server.announced_at.is_some_and(|at| at.elapsed() <= ANNOUNCED_LASTS);
+            && server.announced_at.is_some_and(|at| at.elapsed() <= ANNOUNCED_TTL);
         if announced {
             self.repeat_counts.count_announced();
         }
         Some(RepeatLimits {
-            begin_by: before_end(ON_THE_WAY),
-            unheard_until: before_end(MAX_TRANSIT),
+            begin_by: before_window_end(DELIVERY_TIME),
+            unheard_until: before_window_end(MAX_TRANSIT),
             needs_sign_of_life: !announced,
         })
     }
--- a/router/src/exchange.rs
+++ b/router/src/exchange.rs
@@ -1,5 +1,5 @@
-//! The one object in which clients and servers meet: a request, the answer's stream, and the news that the
-//! client left. It knows no HTTP and takes no decision.
+//! An exchange connects the client's side and the servers' side of one request: the request itself, the stream of its
+//! answer, and the notice that the client has left. Independent of HTTP; makes no decisions.
 
 use bytes::Bytes;
 use shedrelay::{ClassId, Key, TenantId};
@@ -12,46 +12,46 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// Bytes of an answer that may wait for a slow client; past this its server is not read from.
-const MOST_WAITING: usize = 64 * 1024;
+/// Back-pressure limit: while this many bytes of an answer wait for a slow client, its server is not read from.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// The client's side gives its connection up in this time, or keeps it.
+/// If the client's side has not detached its connection within this time, it keeps it.
 const DETACH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request as the core sees it.
+/// A client's request, independent of the API it came by.
 pub struct Call {
     /// Its id, as servers and the log know it.
     pub label: String,
-    /// The conversation.
+    /// The conversation it belongs to.
     pub session: Option<Key>,
-    /// The beginning that it shares with other conversations.
+    /// The prompt prefix that it shares with other conversations.
     pub prefix: Option<Key>,
-    /// Length of that beginning in tokens.
+    /// Length of that prefix in tokens.
     pub prefix_len: f64,
     /// Length of the prompt in tokens.
     pub prompt_len: f64,
-    /// Most tokens the answer may have.
+    /// Maximum length of the answer in tokens.
     pub max_out: f64,
     /// Its class.
     pub class: ClassId,
-    /// Its customer.
+    /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Instant,
-    /// What the client will wait for a first token, from its send.
+    /// How long the client waits for the first token, counted from when it sent the request.
     pub budget: Duration,
-    /// By what servers know a repeat of it, as its client said it.
+    /// The client's idempotency key, by which servers recognise a repeat.
     pub idempotency_key: Option<Bytes>,
-    /// What servers are asked for; only they look into it.
+    /// The request target for servers, passed on as it is.
     pub target: String,
     /// The request's body.
     pub body: Bytes,
-    /// What goes when the request does: its part of what all may take.
+    /// Its share of the memory for request bodies, given back on drop.
     pub _reservation: Option<Box<dyn std::any::Any>>,
 }
 
 impl Call {
-    /// A request whose answer another process began: all that is left to know of it.
+    /// A request whose answer another process began, with the little that is still known of it.
     pub fn taken_over(label: String, class: Option<ClassId>, age: Duration, prompt_len: f64) -> Self {
         let now = Instant::now();
         Call {
@@ -61,7 +61,7 @@
             prefix_len: 0.0,
             prompt_len,
             max_out: 0.0,
-            // A class that is not known here counts nowhere.
+            // An unknown class is not counted.
             class: class.unwrap_or(ClassId(usize::MAX)),
             tenant: None,
             arrived: now.checked_sub(age).unwrap_or(now),
@@ -81,146 +81,147 @@
     Stream,
     /// Refused: trying again is harmless, after this time if one is told.
     Refused(Option<Duration>),
-    /// Failed, with no word on its effect.
+    /// Failed: the request may have had an effect.
     Failed,
-    /// Failed, since no server can use what the client sent.
+    /// Failed: no server can process what the client sent.
     Unusable,
 }
 
-/// The stream ended before its end.
+/// The answer's stream ended before the answer was complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer broke off")]
+#[error("the answer ended before it was complete")]
 pub struct IncompleteAnswer;
 
-/// The client left.
+/// The client has left.
 #[derive(Debug)]
 pub struct ClientLeft;
 
 #[derive(Default)]
 struct State {
     opening: Option<Opening>,
-    waiting: VecDeque<Bytes>,
-    size: usize,
+    buffered: VecDeque<Bytes>,
+    buffered_bytes: usize,
+    /// Set once the answer has ended: whether it is complete.
     end: Option<bool>,
-    client: Option<Waker>,
-    server: Option<Waker>,
+    client_waker: Option<Waker>,
+    server_waker: Option<Waker>,
 }
 
-/// A request on its way.
+/// An open request.
 pub struct Exchange {
     /// The request.
     pub call: Call,
     state: RefCell<State>,
-    left: Cell<bool>,
-    on_leave: RefCell<Option<Box<dyn FnOnce()>>>,
+    client_left: Cell<bool>,
+    on_client_left: RefCell<Option<Box<dyn FnOnce()>>>,
     on_detach_request: RefCell<Option<OnDetachRequest>>,
 }
 
-/// Hears that the client's connection is asked for.
+/// Called when the client's connection is asked for.
 type OnDetachRequest = Box<dyn Fn(DetachRequest)>;
 
-/// How the client's side gives its connection up, once nothing of the answer waits there any more. Dropping it says
-/// that it does not.
+/// A request to the client's side to detach its connection once it has written all that it has of the answer.
+/// Dropping it declines.
 pub struct DetachRequest {
     socket: oneshot::Sender<TcpStream>,
     exchange: Weak<Exchange>,
 }
 
 impl DetachRequest {
-    /// Nobody waits for it any more.
+    /// Whether the connection is not wanted any more.
     pub fn is_cancelled(&self) -> bool {
         self.socket.is_closed()
     }
 
-    /// From here on the client's end of the exchange may be dropped: its client has not left.
+    /// From here on, dropping the [`ClientEnd`] does not mean that the client has left.
     pub fn accept(&self) {
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.on_leave.take();
+            exchange.on_client_left.take();
         }
     }
 
-    /// The connection.
+    /// Hands the connection over.
     pub fn complete(self, socket: TcpStream) {
         let _ = self.socket.send(socket);
     }
 }
 
 impl Exchange {
-    /// A request that has just come.
+    /// An exchange for a new request.
     pub fn new(call: Call) -> Rc<Self> {
         Rc::new(Exchange {
             call,
             state: RefCell::default(),
-            left: Cell::new(false),
-            on_leave: RefCell::default(),
+            client_left: Cell::new(false),
+            on_client_left: RefCell::default(),
             on_detach_request: RefCell::default(),
         })
     }
 
-    // For the core.
+    // Used by the core.
 
-    /// Runs once if the client leaves before its answer is whole.
-    pub fn on_leave(&self, hear: impl FnOnce() + 'static) {
-        *self.on_leave.borrow_mut() = Some(Box::new(hear));
+    /// `callback` runs once if the client leaves before its answer is complete.
+    pub fn on_client_left(&self, callback: impl FnOnce() + 'static) {
+        *self.on_client_left.borrow_mut() = Some(Box::new(callback));
     }
 
-    /// The answer begins. The core calls this once for each request.
+    /// Begins the answer. The core calls this once for each request.
     pub fn begin_answer(&self, opening: Opening) {
         let mut state = self.state.borrow_mut();
         state.opening = Some(opening);
         if opening != Opening::Stream {
             state.end = Some(true);
         }
-        wake(&mut state.client);
+        wake(&mut state.client_waker);
     }
 
-    // For the servers' side.
+    // Used by the servers' side.
 
-    /// Whether its client still waits for an answer to begin: else no attempt is begun for it any more.
+    /// Whether the client still waits for an answer to begin. If not, no attempt is started any more.
     pub fn awaits_answer(&self) -> bool {
-        !self.left.get() && self.state.borrow().opening.is_none()
+        !self.client_left.get() && self.state.borrow().opening.is_none()
     }
 
-    /// Hands on a piece of the answer; waits while the client is slow.
-    pub async fn push(&self, piece: Bytes) -> Result<(), ClientLeft> {
+    /// Passes on a chunk of the answer; waits while the client is slow.
+    pub async fn push(&self, chunk: Bytes) -> Result<(), ClientLeft> {
         poll_fn(|cx| {
             let mut state = self.state.borrow_mut();
-            if self.left.get() {
+            if self.client_left.get() {
                 return Poll::Ready(Err(ClientLeft));
             }
-            if state.size >= MOST_WAITING {
-                state.server = Some(cx.waker().clone());
+            if state.buffered_bytes >= MAX_BUFFERED_BYTES {
+                state.server_waker = Some(cx.waker().clone());
                 return Poll::Pending;
             }
             Poll::Ready(Ok(()))
         })
         .await?;
         let mut state = self.state.borrow_mut();
-        state.size += piece.len();
-        state.waiting.push_back(piece);
-        wake(&mut state.client);
+        state.buffered_bytes += chunk.len();
+        state.buffered.push_back(chunk);
+        wake(&mut state.client_waker);
         Ok(())
     }
 
-    /// The client's connection, out of the hands of its side, if all that was pushed is out. The answer goes on
-    /// elsewhere, or here with [`ClientEnd::reattach`].
+    /// Takes the client's connection from the client's side, if no chunk is buffered. The answer continues in another
+    /// process, or here after [`ClientEnd::reattach`].
     pub async fn detach_client(self: &Rc<Self>) -> Option<TcpStream> {
-        if !self.state.borrow().waiting.is_empty() || self.left.get() {
+        if !self.state.borrow().buffered.is_empty() || self.client_left.get() {
             return None;
         }
-        let (socket, given) = oneshot::channel();
+        let (socket, detached) = oneshot::channel();
         {
-            let hook = self.on_detach_request.borrow();
-            hook.as_ref()?(DetachRequest { socket, exchange: Rc::downgrade(self) });
+            let callback = self.on_detach_request.borrow();
+            callback.as_ref()?(DetachRequest { socket, exchange: Rc::downgrade(self) });
         }
-        actix_rt::time::timeout(DETACH_TIMEOUT, given).await.ok()?.ok()
+        actix_rt::time::timeout(DETACH_TIMEOUT, detached).await.ok()?.ok()
     }
 
-    /// The answer ends, whole or not.
-    pub fn end_answer(&self, whole: bool) {
+    /// Ends the answer.
+    pub fn end_answer(&self, complete: bool) {
         let mut state = self.state.borrow_mut();
-        state.end.get_or_insert(whole);
-        wake(&mut state.client);
+        state.end.get_or_insert(complete);
+        wake(&mut state.client_waker);
     }
 }
 
@@ -230,60 +231,61 @@
     }
 }
 
-/// The client's end of an exchange. Dropping it before the answer's end says that the client left.
+/// The client's end of an exchange. Dropping it before the answer's end means that the client has left.
 pub struct ClientEnd {
     exchange: Rc<Exchange>,
-    taken: bool,
+    /// The client's side has read the answer to its end.
+    finished: bool,
 }
 
 impl ClientEnd {
-    /// A new end for an answer whose client's connection was given up; `hear` runs if the client leaves.
-    pub fn reattach(exchange: Rc<Exchange>, hear: impl FnOnce() + 'static) -> Self {
-        exchange.left.set(false);
-        exchange.on_leave(hear);
+    /// A new end for an answer whose client's connection was detached; `callback` runs if the client leaves.
+    pub fn reattach(exchange: Rc<Exchange>, callback: impl FnOnce() + 'static) -> Self {
+        exchange.client_left.set(false);
+        exchange.on_client_left(callback);
         ClientEnd::new(exchange)
     }
 
-    /// How to ask this side for its connection.
-    pub fn on_detach_request(&self, hook: impl Fn(DetachRequest) + 'static) {
-        *self.exchange.on_detach_request.borrow_mut() = Some(Box::new(hook));
+    /// `callback` runs when this side is asked to detach its connection.
+    pub fn on_detach_request(&self, callback: impl Fn(DetachRequest) + 'static) {
+        *self.exchange.on_detach_request.borrow_mut() = Some(Box::new(callback));
     }
 
-    /// The client's end of this exchange.
+    /// The first end of an exchange.
     pub fn new(exchange: Rc<Exchange>) -> Self {
-        ClientEnd { exchange, taken: false }
+        ClientEnd { exchange, finished: false }
     }
 
     /// Waits for the answer to begin.
     pub async fn opening(&mut self) -> Opening {
         let opening = poll_fn(|cx| {
             let mut state = self.exchange.state.borrow_mut();
-            state.client = Some(cx.waker().clone());
+            state.client_waker = Some(cx.waker().clone());
             state.opening.map_or(Poll::Pending, Poll::Ready)
         })
         .await;
-        self.taken |= opening != Opening::Stream;
+        self.finished |= opening != Opening::Stream;
         opening
     }
 
-    /// The next piece of the answer, or nothing at its end.
+    /// The next chunk of the answer, or none at its end.
     pub fn poll_chunk(
         &mut self,
         cx: &mut std::task::Context<'_>,
     ) -> Poll<Option<Result<Bytes, IncompleteAnswer>>> {
         let mut state = self.exchange.state.borrow_mut();
-        if let Some(piece) = state.waiting.pop_front() {
-            state.size -= piece.len();
-            wake(&mut state.server);
-            return Poll::Ready(Some(Ok(piece)));
+        if let Some(chunk) = state.buffered.pop_front() {
+            state.buffered_bytes -= chunk.len();
+            wake(&mut state.server_waker);
+            return Poll::Ready(Some(Ok(chunk)));
         }
         match state.end {
-            Some(whole) => {
-                self.taken = true;
-                Poll::Ready(if whole { None } else { Some(Err(IncompleteAnswer)) })
+            Some(complete) => {
+                self.finished = true;
+                Poll::Ready(if complete { None } else { Some(Err(IncompleteAnswer)) })
             }
             None => {
-                state.client = Some(cx.waker().clone());
+                state.client_waker = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
@@ -292,14 +294,14 @@
 
 impl Drop for ClientEnd {
     fn drop(&mut self) {
-        if self.taken {
+        if self.finished {
             return;
         }
-        self.exchange.left.set(true);
-        wake(&mut self.exchange.state.borrow_mut().server);
-        let hear = self.exchange.on_leave.borrow_mut().take();
-        if let Some(hear) = hear {
-            hear();
+        self.exchange.client_left.set(true);
+        wake(&mut self.exchange.state.borrow_mut().server_waker);
+        let callback = self.exchange.on_client_left.borrow_mut().take();
+        if let Some(callback) = callback {
+            callback();
         }
     }
 }
