--- a/router/src/live.rs
+++ b/router/src/live.rs
@@ -1,6 +1,6 @@
-//! Long-lived connections: owns their decisions (`fawnstream-sessions`), tells them of the list, the clock and the
-//! life cycle, asks the decision module for servers, and counts what becomes of each connection, here alone. What is to
-//! be done with a connection goes to its relay as a command. Knows no sockets.
+//! Long-lived WebSocket connections. Feeds `fawnstream-sessions` with the server list, the clock and the life cycle,
+//! asks the decision module for servers, and sends each connection's relay its commands. The only place that counts
+//! the outcomes of connections. Does no socket I/O.
 
 pub mod relay;
 pub mod resume;
@@ -18,47 +18,48 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
-/// Orders that a relay may have before it: an attempt and the end that overtakes it, and none is lost.
+/// Commands that may wait for one relay. Enough for an attempt and a close that follows before the relay has read it.
 const COMMAND_QUEUE_LEN: usize = 4;
-/// A relay that holds more than this ends when all together hold more than they may.
+/// A connection that buffers more than this is closed while all connections together exceed their limit.
 const SMALL_CONNECTION_BYTES: usize = 16 * 1024;
 
-/// What a relay is told to do.
+/// A command to a connection's relay.
 pub enum RelayCommand {
-    /// Open an upstream there; the first, or one in place of what it has.
+    /// Open an upstream at this server: the first one, or a replacement.
     OpenUpstream(Rc<Server>),
-    /// It is not let in.
+    /// Refuse the connection; the client may retry after this time.
     Refuse(Refusal, Duration),
-    /// Close it in order.
+    /// Close the connection with a closing handshake; the client may retry after this time.
     Close(CloseCause, Duration),
 }
 
-/// What the router keeps of a connection, besides its relay.
+/// State of a connection, besides its relay.
 struct Connection {
     commands: mpsc::Sender<RelayCommand>,
-    /// Its first upstream is open, or was.
-    open: bool,
-    /// Where it weighs: at its server, and at the one where an upstream is being opened.
-    at: Option<ServerId>,
-    to: Option<ServerId>,
+    /// Whether its first upstream has opened.
+    opened: bool,
+    /// Its server. The connection's load is counted there.
+    server: Option<ServerId>,
+    /// The server at which an upstream is being opened. The load is counted there too.
+    pending_server: Option<ServerId>,
 }
 
-/// What became of connections.
+/// Counts of connections by outcome.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionCounts {
-    /// Let in.
+    /// Accepted.
     pub opened: u64,
-    /// Moves that ended at another server.
+    /// Moves to another server that succeeded.
     pub moved: u64,
-    /// Attempts at a move that came to nothing.
+    /// Attempts at a move that failed.
     pub failed_moves: u64,
-    /// Turned away, by why.
+    /// Refused, by reason.
     pub refused: BTreeMap<&'static str, u64>,
-    /// Ended, by why.
+    /// Ended, by reason.
     pub ended: BTreeMap<&'static str, u64>,
 }
 
-/// See the module's page.
+/// All long-lived connections of this process.
 pub struct LiveConnections {
     core: Rc<Core>,
     settings: RefCell<Rc<WebSocket>>,
@@ -66,15 +67,15 @@
     connections: RefCell<HashMap<SessionId, Connection>>,
     counts: RefCell<ConnectionCounts>,
     changed: Notify,
-    last: Cell<u64>,
-    /// Bytes in all relays' buffers, and how many may be.
-    bytes: Cell<usize>,
+    last_id: Cell<u64>,
+    /// Bytes in all relays' buffers.
+    buffered_bytes: Cell<usize>,
     max_buffered_bytes: usize,
 }
 
-/// The name of a reason to turn a connection away, for the log and the counts.
-pub fn refusal_name(why: Refusal) -> &'static str {
-    match why {
+/// The name of a refusal in the log and the metrics.
+pub fn refusal_name(refusal: Refusal) -> &'static str {
+    match refusal {
         Refusal::TenantLimit => "tenant-full",
         Refusal::RouterLimit => "router-full",
         Refusal::QueueTimeout => "no-turn",
@@ -85,7 +86,7 @@
 }
 
 impl LiveConnections {
-    /// None yet. `max_buffered_bytes`: what all connections' buffers may hold.
+    /// Starts without connections. `max_buffered_bytes` limits the buffers of all connections together.
     pub fn new(core: Rc<Core>, settings: WebSocket, seed: u64, max_buffered_bytes: usize) -> Rc<Self> {
         let sessions = RefCell::new(Sessions::new(settings.rules, seed));
         let live = Rc::new(LiveConnections {
@@ -95,35 +96,35 @@
             connections: RefCell::default(),
             counts: RefCell::default(),
             changed: Notify::new(),
-            last: Cell::new(0),
-            bytes: Cell::new(0),
+            last_id: Cell::new(0),
+            buffered_bytes: Cell::new(0),
             max_buffered_bytes,
         });
-        let me = Rc::downgrade(&live);
+        let weak = Rc::downgrade(&live);
         live.core.connect_live(move |updates| {
-            if let Some(live) = me.upgrade() {
+            if let Some(live) = weak.upgrade() {
                 live.apply_list(updates);
             }
         });
         live
     }
 
-    /// The settings now.
+    /// The current settings.
     pub fn settings(&self) -> Rc<WebSocket> {
         self.settings.borrow().clone()
     }
 
-    /// New settings: what is open stays, and follows the new ones from its next step on.
+    /// Takes over new settings. Open connections stay open and follow them from their next step on.
     pub fn reload(&self, settings: WebSocket) {
         self.sessions.borrow_mut().set_rules(settings.rules);
         let old = self.settings();
-        // What servers were told of, and what weighs there, holds until the next start.
+        // The address, the kinds of servers and the load already counted at servers stay until the next start.
         let (listen, kinds, load_tokens) = (old.listen, old.kinds.clone(), old.load_tokens);
         *self.settings.borrow_mut() = Rc::new(WebSocket { listen, kinds, load_tokens, ..settings });
         self.changed.notify_one();
     }
 
-    /// How many there are, and what became of the others.
+    /// Counts of current connections, and of outcomes so far.
     pub fn counts(&self) -> (Counts, ConnectionCounts) {
         (self.sessions.borrow().counts(), self.counts.borrow().clone())
     }
@@ -132,16 +133,16 @@
         self.core.now().0 / 1_000_000
     }
 
-    /// Updates of the list.
-    fn apply_list(&self, news: &[ServerUpdate]) {
+    /// Applies updates of the server list.
+    fn apply_list(&self, updates: &[ServerUpdate]) {
         let (now, settings) = (self.now(), self.settings());
         {
             let mut sessions = self.sessions.borrow_mut();
-            for news in news {
-                let server = ServerId(news.server.0);
-                match news.state {
-                    ServerState::Active if news.kind.is_some_and(|kind| settings.kinds.contains(&kind)) => {
-                        sessions.server_listed(server, news.up_since.map(|up| up.0 / 1_000_000), now);
+            for update in updates {
+                let server = ServerId(update.server.0);
+                match update.state {
+                    ServerState::Active if update.kind.is_some_and(|kind| settings.kinds.contains(&kind)) => {
+                        sessions.server_listed(server, update.up_since.map(|up| up.0 / 1_000_000), now);
                     }
                     ServerState::Left => sessions.server_draining(server, true, now),
                     _ => sessions.server_draining(server, false, now),
@@ -151,31 +152,31 @@
         self.changed.notify_one();
     }
 
-    /// Follows time, the list and the life cycle until the program ends.
-    pub async fn run(self: Rc<Self>, life: &Lifecycle) {
-        let mut phase = life.subscribe();
+    /// Runs the decisions on time, the list and the life cycle until the program ends.
+    pub async fn run(self: Rc<Self>, lifecycle: &Lifecycle) {
+        let mut phase = lifecycle.subscribe();
         loop {
             let now = self.now();
             {
                 let mut sessions = self.sessions.borrow_mut();
-                match life.phase().sends_away() {
+                match lifecycle.phase().sends_away() {
                     true => sessions.start_drain(now),
                     false => sessions.end_drain(),
                 }
             }
             let actions = {
-                let place = |_, offered: &[ServerId]| {
-                    let offered: Vec<shedrelay::ServerId> =
-                        offered.iter().map(|server| shedrelay::ServerId(server.0)).collect();
-                    self.core.place_connection(&offered).map(|server| ServerId(server.0))
+                let place = |_, candidates: &[ServerId]| {
+                    let candidates: Vec<shedrelay::ServerId> =
+                        candidates.iter().map(|server| shedrelay::ServerId(server.0)).collect();
+                    self.core.place_connection(&candidates).map(|server| ServerId(server.0))
                 };
                 self.sessions.borrow_mut().tick(now, place)
             };
             actions.into_iter().for_each(|action| self.perform(action));
-            let wake = self.sessions.borrow().next_due();
-            // Never at once: other work comes between two parts of what takes long.
-            let wait = wake.map(|wake| Duration::from_millis(wake.saturating_sub(self.now()).max(1)));
-            let time = async {
+            let due = self.sessions.borrow().next_due();
+            // At least 1 ms, so that other tasks run between two parts of a long operation.
+            let wait = due.map(|due| Duration::from_millis(due.saturating_sub(self.now()).max(1)));
+            let timer = async {
                 match wait {
                     Some(wait) => actix_rt::time::sleep(wait).await,
                     None => std::future::pending().await,
@@ -184,28 +185,28 @@
             tokio::select! {
                 () = self.changed.notified() => {}
                 _ = phase.changed() => {}
-                () = time => {}
+                () = timer => {}
             }
         }
     }
 
     fn perform(&self, action: Action) {
-        let after = Duration::from_millis;
+        let millis = Duration::from_millis;
         match action {
             Action::Open { session, to } | Action::Move { session, to } => {
                 let server = self.core.server(shedrelay::ServerId(to.0));
-                // Told of as gone between the choice and now: it was never tried.
+                // The server has begun to drain or has left since it was chosen, so the attempt has not run.
                 let Some(server) = server.filter(|server| server.draining_since.get().is_none()) else {
                     return self.attempt_ended(session, AttemptOutcome::NotRun);
                 };
-                self.change_load(session, |kept| kept.to = Some(to));
+                self.change_load(session, |connection| connection.pending_server = Some(to));
                 self.send_command(session, RelayCommand::OpenUpstream(server));
             }
             Action::Refuse { session, reason, retry_after } => {
-                self.send_command(session, RelayCommand::Refuse(reason, after(retry_after)))
+                self.send_command(session, RelayCommand::Refuse(reason, millis(retry_after)))
             }
             Action::Close { session, cause, retry_after } => {
-                self.send_command(session, RelayCommand::Close(cause, after(retry_after)))
+                self.send_command(session, RelayCommand::Close(cause, millis(retry_after)))
             }
         }
     }
@@ -213,73 +214,79 @@
     fn send_command(&self, session: SessionId, command: RelayCommand) {
         let last = !matches!(command, RelayCommand::OpenUpstream(..));
         if last {
-            self.change_load(session, |kept| (kept.at, kept.to) = (None, None));
+            self.change_load(session, |connection| {
+                (connection.server, connection.pending_server) = (None, None)
+            });
         }
-        let mut kept = self.connections.borrow_mut();
-        if let Some(known) = kept.get(&session)
-            && known.commands.try_send(command).is_err()
+        let mut connections = self.connections.borrow_mut();
+        if let Some(connection) = connections.get(&session)
+            && connection.commands.try_send(command).is_err()
         {
-            // It ends by itself when it finds its commands closed.
+            // The relay ends once its command channel is closed.
             crate::log!("websocket id=ws-{} reason=orders-full", session.0);
-            kept.remove(&session);
+            connections.remove(&session);
         }
     }
 
-    /// Where a connection weighs changes; the decision module hears of the difference.
+    /// Changes the servers at which a connection's load is counted, and tells the decision module the difference.
     fn change_load(&self, session: SessionId, change: impl FnOnce(&mut Connection)) {
         let tokens = self.settings.borrow().load_tokens;
-        let mut all = self.connections.borrow_mut();
-        let Some(kept) = all.get_mut(&session) else { return };
-        let before = [kept.at, kept.to];
-        change(kept);
-        let after = [kept.at, kept.to];
-        drop(all);
-        let hold = |at: ServerId, tokens| self.core.add_connection_load(shedrelay::ServerId(at.0), tokens);
-        before.into_iter().flatten().for_each(|at| hold(at, -tokens));
-        after.into_iter().flatten().for_each(|at| hold(at, tokens));
+        let mut connections = self.connections.borrow_mut();
+        let Some(connection) = connections.get_mut(&session) else { return };
+        let before = [connection.server, connection.pending_server];
+        change(connection);
+        let after = [connection.server, connection.pending_server];
+        drop(connections);
+        let add =
+            |server: ServerId, tokens| self.core.add_connection_load(shedrelay::ServerId(server.0), tokens);
+        before.into_iter().flatten().for_each(|server| add(server, -tokens));
+        after.into_iter().flatten().for_each(|server| add(server, tokens));
     }
 
-    // For the front and the relays.
+    // Used by the WebSocket listener and the relays.
 
-    /// A new connection wants in; or why it is not let in, and when its client may come again.
+    /// Queues a new connection for admission. If it is refused at once: why, and when its client may retry.
     pub fn enqueue(
         self: &Rc<Self>,
         tenant: Option<shedrelay::TenantId>,
-        safe: bool,
+        repeatable: bool,
     ) -> Result<ConnectionHandle, (Refusal, Duration)> {
-        let id = SessionId(self.last.get() + 1);
-        self.last.set(id.0);
-        // Without keys all are one customer.
+        let id = SessionId(self.last_id.get() + 1);
+        self.last_id.set(id.0);
+        // Where no keys are set, all connections count as one tenant.
         let tenant = TenantId(tenant.map_or(u64::MAX, |tenant| tenant.0 as u64));
-        let asked = self.sessions.borrow_mut().enqueue(id, tenant, safe, self.now());
-        if let Err((why, again)) = asked {
-            self.count_refused(refusal_name(why));
-            return Err((why, Duration::from_millis(again)));
+        let queued = self.sessions.borrow_mut().enqueue(id, tenant, repeatable, self.now());
+        if let Err((refusal, retry_after)) = queued {
+            self.count_refused(refusal_name(refusal));
+            return Err((refusal, Duration::from_millis(retry_after)));
         }
-        let (commands, hear) = mpsc::channel(COMMAND_QUEUE_LEN);
-        self.connections.borrow_mut().insert(id, Connection { commands, open: false, at: None, to: None });
+        let (sender, commands) = mpsc::channel(COMMAND_QUEUE_LEN);
+        self.connections
+            .borrow_mut()
+            .insert(id, Connection { commands: sender, opened: false, server: None, pending_server: None });
         self.changed.notify_one();
-        Ok(ConnectionHandle { live: self.clone(), id, commands: hear, movable: true, bytes: 0 })
+        Ok(ConnectionHandle { live: self.clone(), id, commands, movable: true, buffered_bytes: 0 })
     }
 
-    /// An upgrade was turned away.
-    pub fn count_refused(&self, why: &'static str) {
-        self.count(|counts| *counts.refused.entry(why).or_default() += 1);
+    /// Counts a refused upgrade.
+    pub fn count_refused(&self, reason: &'static str) {
+        self.count(|counts| *counts.refused.entry(reason).or_default() += 1);
     }
 
     fn count(&self, change: impl FnOnce(&mut ConnectionCounts)) {
         change(&mut self.counts.borrow_mut());
     }
 
-    fn attempt_ended(&self, session: SessionId, attempt: AttemptOutcome) {
-        let taken = attempt == AttemptOutcome::Opened;
-        let first = self.connections.borrow().get(&session).is_some_and(|kept| !kept.open);
-        let action = self.sessions.borrow_mut().attempt_ended(session, attempt, self.now());
-        self.change_load(session, |kept| {
-            let to = kept.to.take();
-            (kept.at, kept.open) = (if taken { to } else { kept.at }, kept.open || taken);
+    fn attempt_ended(&self, session: SessionId, outcome: AttemptOutcome) {
+        let succeeded = outcome == AttemptOutcome::Opened;
+        let first = self.connections.borrow().get(&session).is_some_and(|connection| !connection.opened);
+        let action = self.sessions.borrow_mut().attempt_ended(session, outcome, self.now());
+        self.change_load(session, |connection| {
+            let to = connection.pending_server.take();
+            (connection.server, connection.opened) =
+                (if succeeded { to } else { connection.server }, connection.opened || succeeded);
         });
-        self.count(|counts| match (taken, first) {
+        self.count(|counts| match (succeeded, first) {
             (true, false) => counts.moved += 1,
             (false, false) => counts.failed_moves += 1,
             _ => {}
@@ -291,14 +298,14 @@
     }
 }
 
-/// A connection's place among them; it ends with this.
+/// A connection's registration. Dropping it ends the connection's session and frees what it counted for.
 pub struct ConnectionHandle {
     live: Rc<LiveConnections>,
     id: SessionId,
-    /// What it is told to do.
+    /// Commands to the relay.
     pub commands: mpsc::Receiver<RelayCommand>,
     movable: bool,
-    bytes: usize,
+    buffered_bytes: usize,
 }
 
 impl ConnectionHandle {
@@ -307,32 +314,32 @@
         format!("ws-{}", self.id.0)
     }
 
-    /// The settings now.
+    /// The current settings.
     pub fn settings(&self) -> Rc<WebSocket> {
         self.live.settings()
     }
 
-    /// An attempt has ended.
-    pub fn attempt_ended(&self, attempt: AttemptOutcome) {
-        self.live.attempt_ended(self.id, attempt);
+    /// Reports how an attempt to open an upstream ended.
+    pub fn attempt_ended(&self, outcome: AttemptOutcome) {
+        self.live.attempt_ended(self.id, outcome);
     }
 
-    /// Its first upstream is open and its client was told.
+    /// Reports that its first upstream is open and the client's upgrade was answered.
     pub fn opened(&self) {
         self.live.count(|counts| counts.opened += 1);
     }
 
-    /// Its upstream broke.
+    /// Reports that its upstream broke.
     pub fn upstream_broke(&self) {
         let action = self.live.sessions.borrow_mut().upstream_broke(self.id, self.live.now());
-        self.live.change_load(self.id, |kept| kept.at = None);
+        self.live.change_load(self.id, |connection| connection.server = None);
         if let Some(action) = action {
             self.live.perform(action);
         }
         self.live.changed.notify_one();
     }
 
-    /// Whether it may move now.
+    /// Sets whether it may move to another server now.
     pub fn set_movable(&mut self, movable: bool) {
         if self.movable != movable {
             self.movable = movable;
@@ -340,29 +347,31 @@
         }
     }
 
-    /// It was not let in.
-    pub fn refused(&self, why: &'static str) {
-        self.live.count_refused(why);
+    /// Counts its refusal.
+    pub fn refused(&self, reason: &'static str) {
+        self.live.count_refused(reason);
     }
 
-    /// It ended.
-    pub fn ended(&self, why: &'static str) {
-        self.live.count(|counts| *counts.ended.entry(why).or_default() += 1);
+    /// Counts its end.
+    pub fn ended(&self, reason: &'static str) {
+        self.live.count(|counts| *counts.ended.entry(reason).or_default() += 1);
     }
 
-    /// So many bytes are in its buffers. False if all connections hold too much and this one is not among the small.
+    /// Updates how many bytes its buffers hold. False if all connections together exceed their limit and this one is
+    /// not small.
     pub fn set_buffered_bytes(&mut self, bytes: usize) -> bool {
-        let all = self.live.bytes.get() - self.bytes + bytes;
-        self.live.bytes.set(all);
-        self.bytes = bytes;
-        bytes <= SMALL_CONNECTION_BYTES || all <= self.live.max_buffered_bytes
+        let total = self.live.buffered_bytes.get() - self.buffered_bytes + bytes;
+        self.live.buffered_bytes.set(total);
+        self.buffered_bytes = bytes;
+        bytes <= SMALL_CONNECTION_BYTES || total <= self.live.max_buffered_bytes
     }
 }
 
 impl Drop for ConnectionHandle {
     fn drop(&mut self) {
-        self.live.bytes.set(self.live.bytes.get() - self.bytes);
-        self.live.change_load(self.id, |kept| (kept.at, kept.to) = (None, None));
+        self.live.buffered_bytes.set(self.live.buffered_bytes.get() - self.buffered_bytes);
+        self.live
+            .change_load(self.id, |connection| (connection.server, connection.pending_server) = (None, None));
         self.live.connections.borrow_mut().remove(&self.id);
         self.live.sessions.borrow_mut().session_ended(self.id);
         self.live.changed.notify_one();
--- a/router/src/live/relay.rs
+++ b/router/src/live/relay.rs
@@ -1,7 +1,7 @@
-//! One long-lived connection: frames pass both ways unchanged and in order, each side held back while the other is
-//! slow, and its server can be changed between two messages. Does what the decisions say, and tells them what it sees.
+//! The relay of one long-lived connection. Passes frames both ways unchanged and in order, with back-pressure between
+//! the two sides, and can change the server between two messages. Carries out commands and reports events.
 
-use super::resume::{self, Message as Passing, Place, Step};
+use super::resume::{FrameKind, MessageError, MessageTracker, ResumeState};
 use super::{ConnectionHandle, RelayCommand};
 use crate::core::Server;
 use crate::leg::{Fault, Leg, again};
@@ -17,169 +17,171 @@
 use std::time::{Duration, Instant};
 use tokio::time::{Sleep, sleep_until};
 
-/// A closing handshake is done in this time, or the connection ends without it.
-const CLOSING: Duration = Duration::from_secs(2);
-/// A move waits so long for the messages under way to end; then it is put off.
-const BOUNDARY: Duration = Duration::from_millis(300);
-/// A peer that takes nothing for so long has gone, whatever its connection says.
-const TAKES_NOTHING: Duration = Duration::from_secs(10);
-/// A server that is left has so long to take its close.
-const OLD_SERVER: Duration = Duration::from_millis(500);
-/// What our own pings say; a number follows. Answers to others pass.
-const OURS: &[u8] = b"fawnstream/";
+/// A closing handshake that takes longer is given up and the connection ends without it.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A move that has waited this long for the current messages to end is deferred.
+const MESSAGE_END_TIMEOUT: Duration = Duration::from_millis(300);
+/// A peer that has accepted no bytes for this long counts as gone, even if its connection looks open.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a server that the connection leaves may take to receive the close frame.
+const SERVER_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Payload prefix of the router's own pings; a number follows. Pongs to other pings are passed on.
+const PING_PREFIX: &[u8] = b"fawnstream/";
 
-type Attempting = Pin<Box<dyn Future<Output = Result<Upstream, Refused>>>>;
+type UpgradeAttempt = Pin<Box<dyn Future<Output = Result<Upstream, Refused>>>>;
 
 /// Opens an upstream for a connection.
 pub fn open_upstream(
-    member: &ConnectionHandle,
+    handle: &ConnectionHandle,
     server: Rc<Server>,
-    ask: &Rc<Ask>,
+    upgrade_request: &Rc<Ask>,
     last_id: Option<String>,
-    connect: Duration,
+    connect_timeout: Duration,
 ) -> impl Future<Output = Result<Upstream, Refused>> + 'static {
-    upgrade::open(server, ask.clone(), last_id, connect, member.settings().limits)
+    upgrade::open(server, upgrade_request.clone(), last_id, connect_timeout, handle.settings().limits)
 }
 
-/// A move: first the messages under way end, then a new upstream opens.
-struct Moving {
+/// A move to another server. The current messages end first, then a new upstream is opened.
+struct Move {
     label: String,
     server: Rc<Server>,
-    until: Instant,
-    attempt: Option<Attempting>,
+    /// The move is deferred if the current messages have not ended by then.
+    message_end_by: Instant,
+    attempt: Option<UpgradeAttempt>,
 }
 
-/// What happened.
+/// What a relay waits for.
 enum Event {
-    Order(Option<RelayCommand>),
+    Command(Option<RelayCommand>),
     Client(Result<Option<Frame>, Fault>),
     Server(Result<Option<Frame>, Fault>),
     Attempt(Result<Upstream, Refused>),
-    /// A message's end was waited for, and here it is.
-    Boundary,
-    Time,
+    /// A move is pending, and no message is unfinished in either direction.
+    MessageBoundary,
+    Timer,
 }
 
-/// How it ends.
+/// The end of a connection that is being closed.
 #[derive(Clone, Copy)]
 struct End {
-    /// For the log and the figures.
+    /// The reason in the log and the metrics.
     code: &'static str,
-    /// When it ends without the client's word.
+    /// When it ends even if the client's close frame has not come.
     due: Instant,
 }
 
-/// See the module's page.
+/// Relays one connection.
 pub struct Relay {
-    member: ConnectionHandle,
+    handle: ConnectionHandle,
     client: Leg,
     server: Option<Leg>,
-    label: String,
+    server_label: String,
     protocol: Option<String>,
-    ask: Rc<Ask>,
-    connect: Duration,
-    up: Passing,
-    down: Passing,
-    place: Place,
-    moving: Option<Moving>,
+    upgrade_request: Rc<Ask>,
+    connect_timeout: Duration,
+    from_client: MessageTracker,
+    from_server: MessageTracker,
+    resume: ResumeState,
+    pending_move: Option<Move>,
     end: Option<End>,
-    /// The client closes: its server's word goes back to it.
-    client_closes: Option<Option<CloseReason>>,
+    /// The client's close reason, from its close frame until it has been answered.
+    client_close: Option<Option<CloseReason>>,
     timer: Pin<Box<Sleep>>,
-    born: Instant,
-    /// When the last message passed.
-    used: Instant,
+    started_at: Instant,
+    last_message_at: Instant,
     pings: u64,
     moves: u32,
+    /// Messages passed from the client and from the server.
     messages: (u64, u64),
 }
 
-fn close(code: u16, text: &str) -> Option<CloseReason> {
+fn close_reason(code: u16, text: &str) -> Option<CloseReason> {
     Some(CloseReason { code: CloseCode::from(code), description: Some(text.to_owned()) })
 }
 
 impl Relay {
-    /// A connection that was just let in.
+    /// A relay for a connection that has just been accepted.
     pub fn new(
-        member: ConnectionHandle,
+        handle: ConnectionHandle,
         client: Leg,
         upstream: Upstream,
-        ask: Rc<Ask>,
-        connect: Duration,
-        label: String,
+        upgrade_request: Rc<Ask>,
+        connect_timeout: Duration,
+        server_label: String,
     ) -> Self {
         let now = Instant::now();
         Relay {
-            member,
+            handle,
             client,
             server: Some(upstream.leg),
-            label,
+            server_label,
             protocol: upstream.protocol,
-            ask,
-            connect,
-            up: Passing::default(),
-            down: Passing::default(),
-            place: Place::default(),
-            moving: None,
+            upgrade_request,
+            connect_timeout,
+            from_client: MessageTracker::default(),
+            from_server: MessageTracker::default(),
+            resume: ResumeState::default(),
+            pending_move: None,
             end: None,
-            client_closes: None,
+            client_close: None,
             timer: Box::pin(sleep_until(now.into())),
-            born: now,
-            used: now,
+            started_at: now,
+            last_message_at: now,
             pings: 0,
             moves: 0,
             messages: (0, 0),
         }
     }
 
-    /// Until its end, which leaves a line in the log.
+    /// Runs until the connection has ended, and logs its end.
     pub async fn run(mut self, class: &str, tenant: &str) {
         let code = self.relay().await;
-        self.member.ended(code);
+        self.handle.ended(code);
         log!(
             "websocket id={} class={class} tenant={tenant:?} server={} code={code} moves={} up={} down={} ms={}",
-            self.member.name(),
-            self.label,
+            self.handle.name(),
+            self.server_label,
             self.moves,
             self.messages.0,
             self.messages.1,
-            self.born.elapsed().as_millis()
+            self.started_at.elapsed().as_millis()
         );
         if let Some(server) = self.server.take() {
-            actix_rt::spawn(server.finish(OLD_SERVER));
+            actix_rt::spawn(server.finish(SERVER_CLOSE_TIMEOUT));
         }
     }
 
     async fn relay(&mut self) -> &'static str {
         loop {
-            let next = self.next_look();
-            self.timer.as_mut().reset(next.into());
+            let due = self.next_due();
+            self.timer.as_mut().reset(due.into());
             let event = poll_fn(|cx| self.poll(cx)).await;
             let ended = match event {
-                Event::Order(order) => self.order(order),
-                Event::Client(frame) => self.client_sent(frame),
-                Event::Server(frame) => self.server_sent(frame),
-                Event::Attempt(attempt) => self.attempted(attempt),
-                Event::Boundary => self.begin_attempt(),
-                Event::Time => self.look(),
+                Event::Command(command) => self.handle_command(command),
+                Event::Client(frame) => self.client_frame(frame),
+                Event::Server(frame) => self.server_frame(frame),
+                Event::Attempt(result) => self.attempt_ended(result),
+                Event::MessageBoundary => self.start_attempt(),
+                Event::Timer => self.check_timeouts(),
             };
             if let Some(code) = ended {
-                let _ = actix_rt::time::timeout(CLOSING, poll_fn(|cx| self.client.poll_flush(cx))).await;
+                let _ =
+                    actix_rt::time::timeout(CLOSE_TIMEOUT, poll_fn(|cx| self.client.poll_flush(cx))).await;
                 return code;
             }
             let bytes = self.client.held()
                 + self.server.as_ref().map_or(0, Leg::held)
-                + self.up.held()
-                + self.down.held();
-            if !self.member.set_buffered_bytes(bytes) && self.end.is_none() {
-                self.finish("no-memory", 1013, "the router is short of memory");
+                + self.from_client.buffered_bytes()
+                + self.from_server.buffered_bytes();
+            if !self.handle.set_buffered_bytes(bytes) && self.end.is_none() {
+                self.close("no-memory", 1013, "the router is short of memory");
             }
         }
     }
 
-    /// Whether messages wait for a move: both sides stand still between two messages.
-    fn still(&self, passing: &Passing) -> bool {
-        self.moving.is_some() && !passing.open()
+    /// Whether a direction is paused for a pending move: between two messages nothing more is read.
+    fn paused_for_move(&self, messages: &MessageTracker) -> bool {
+        self.pending_move.is_some() && !messages.unfinished()
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Event> {
@@ -189,97 +191,105 @@
         if let Some(Poll::Ready(Err(_))) = self.server.as_mut().map(|server| server.poll_flush(cx)) {
             return Poll::Ready(Event::Server(Err(Fault::Broken)));
         }
-        if let Poll::Ready(order) = self.member.commands.poll_recv(cx)
+        if let Poll::Ready(command) = self.handle.commands.poll_recv(cx)
             && self.end.is_none()
         {
-            return Poll::Ready(Event::Order(order));
+            return Poll::Ready(Event::Command(command));
         }
-        if let Some(moving) = &mut self.moving {
-            match &mut moving.attempt {
+        if let Some(pending_move) = &mut self.pending_move {
+            match &mut pending_move.attempt {
                 Some(attempt) => {
-                    if let Poll::Ready(attempt) = attempt.as_mut().poll(cx) {
-                        return Poll::Ready(Event::Attempt(attempt));
+                    if let Poll::Ready(result) = attempt.as_mut().poll(cx) {
+                        return Poll::Ready(Event::Attempt(result));
                     }
                 }
-                None if !self.up.open() && !self.down.open() => return Poll::Ready(Event::Boundary),
+                None if !self.from_client.unfinished() && !self.from_server.unfinished() => {
+                    return Poll::Ready(Event::MessageBoundary);
+                }
                 None => {}
             }
         }
-        // What cannot go on is not read: a slow side holds back its own connection alone.
-        let to_server = self.server.as_ref().is_some_and(Leg::has_room) && !self.still(&self.up);
-        if (to_server || self.end.is_some())
+        // Back-pressure: a frame is read only if it can be passed on, so a slow side slows only its own connection.
+        let server_has_room =
+            self.server.as_ref().is_some_and(Leg::has_room) && !self.paused_for_move(&self.from_client);
+        if (server_has_room || self.end.is_some())
             && let Poll::Ready(frame) = self.client.poll_frame(cx)
         {
             return Poll::Ready(Event::Client(frame));
         }
         if self.client.has_room()
-            && !self.still(&self.down)
+            && !self.paused_for_move(&self.from_server)
             && let Some(server) = &mut self.server
             && let Poll::Ready(frame) = server.poll_frame(cx)
         {
             return Poll::Ready(Event::Server(frame));
         }
-        self.timer.as_mut().poll(cx).map(|()| Event::Time)
+        self.timer.as_mut().poll(cx).map(|()| Event::Timer)
     }
 
-    // What it is told.
+    // Commands. These handlers, and those below, return the end's reason once the connection has ended.
 
-    fn order(&mut self, order: Option<RelayCommand>) -> Option<&'static str> {
-        match order {
+    fn handle_command(&mut self, command: Option<RelayCommand>) -> Option<&'static str> {
+        match command {
             Some(RelayCommand::OpenUpstream(server)) => {
-                let until = Instant::now() + BOUNDARY;
+                let message_end_by = Instant::now() + MESSAGE_END_TIMEOUT;
                 let label = server.label.clone();
-                self.moving = Some(Moving { label, server, until, attempt: None });
+                self.pending_move = Some(Move { label, server, message_end_by, attempt: None });
             }
-            Some(RelayCommand::Close(code, again)) => {
-                let (name, number) = match code {
+            Some(RelayCommand::Close(cause, retry_after)) => {
+                let (code, number) = match cause {
                     CloseCause::ServerGone => ("server-gone", 1001),
                     CloseCause::Restart => ("restart", 1012),
                     CloseCause::TryLater => ("try-later", 1013),
                 };
-                self.finish(name, number, &format!("come again in {:.3} s", again.as_secs_f64()));
+                self.close(code, number, &format!("come again in {:.3} s", retry_after.as_secs_f64()));
             }
-            Some(RelayCommand::Refuse(..)) | None => self.finish("lost", 1012, "come again"),
+            Some(RelayCommand::Refuse(..)) | None => self.close("lost", 1012, "come again"),
         }
         None
     }
 
-    /// Sends the final message to both sides.
-    fn finish(&mut self, code: &'static str, number: u16, text: &str) {
+    /// Starts closing the connection: sends a close frame to both sides.
+    fn close(&mut self, code: &'static str, number: u16, text: &str) {
         if self.end.is_some() {
             return;
         }
-        self.client.put(Message::Close(close(number, text)));
+        self.client.put(Message::Close(close_reason(number, text)));
         self.leave_server(1001);
-        self.moving = None;
-        self.end = Some(End { code, due: Instant::now() + CLOSING });
+        self.pending_move = None;
+        self.end = Some(End { code, due: Instant::now() + CLOSE_TIMEOUT });
     }
 
-    /// The server is told that nobody follows it any more.
+    /// Closes the connection to the server.
     fn leave_server(&mut self, number: u16) {
         if let Some(mut server) = self.server.take() {
-            server.put(Message::Close(close(number, "")));
-            actix_rt::spawn(server.finish(OLD_SERVER));
+            server.put(Message::Close(close_reason(number, "")));
+            actix_rt::spawn(server.finish(SERVER_CLOSE_TIMEOUT));
         }
     }
 
     // Moves.
 
-    fn begin_attempt(&mut self) -> Option<&'static str> {
-        if let Some(moving) = &mut self.moving {
-            let last_id = self.place.last_id().map(str::to_owned);
-            let attempt =
-                open_upstream(&self.member, moving.server.clone(), &self.ask, last_id, self.connect);
-            moving.attempt = Some(Box::pin(attempt));
+    fn start_attempt(&mut self) -> Option<&'static str> {
+        if let Some(pending_move) = &mut self.pending_move {
+            let last_id = self.resume.last_id().map(str::to_owned);
+            let attempt = open_upstream(
+                &self.handle,
+                pending_move.server.clone(),
+                &self.upgrade_request,
+                last_id,
+                self.connect_timeout,
+            );
+            pending_move.attempt = Some(Box::pin(attempt));
         }
         None
     }
 
-    fn attempted(&mut self, attempt: Result<Upstream, Refused>) -> Option<&'static str> {
-        let moving = self.moving.take()?;
-        let upstream = attempt.and_then(|upstream| match upstream.protocol == self.protocol {
+    fn attempt_ended(&mut self, result: Result<Upstream, Refused>) -> Option<&'static str> {
+        let pending_move = self.pending_move.take()?;
+        let upstream = result.and_then(|upstream| match upstream.protocol == self.protocol {
             true => Ok(upstream),
-            // The client speaks the one that it was told.
+            // The client keeps to the subprotocol that it was told at its upgrade.
             false => Err(Refused {
                 attempt: AttemptOutcome::MayHaveRun,
                 reason: "other-protocol",
@@ -289,15 +299,20 @@
         match upstream {
             Ok(upstream) => {
                 self.leave_server(1000);
-                log!("websocket moved id={} from={} to={}", self.member.name(), self.label, moving.label);
-                (self.server, self.label) = (Some(upstream.leg), moving.label);
+                log!(
+                    "websocket moved id={} from={} to={}",
+                    self.handle.name(),
+                    self.server_label,
+                    pending_move.label
+                );
+                (self.server, self.server_label) = (Some(upstream.leg), pending_move.label);
                 self.moves += 1;
-                self.member.attempt_ended(AttemptOutcome::Opened);
+                self.handle.attempt_ended(AttemptOutcome::Opened);
             }
             Err(error) => {
-                let (name, label) = (self.member.name(), moving.label);
+                let (name, label) = (self.handle.name(), pending_move.label);
                 log!("websocket attempt id={name} server={label} reason={}", error.reason);
-                self.member.attempt_ended(error.attempt);
+                self.handle.attempt_ended(error.attempt);
             }
         }
         None
@@ -305,184 +320,191 @@
 
     // Frames.
 
-    fn client_sent(&mut self, frame: Result<Option<Frame>, Fault>) -> Option<&'static str> {
+    fn client_frame(&mut self, frame: Result<Option<Frame>, Fault>) -> Option<&'static str> {
         let frame = match frame {
             Ok(Some(frame)) => frame,
-            // Its word that it has closed did not come, or is not needed any more.
+            // Its close frame did not come, or is not needed any more.
             Ok(None) | Err(Fault::Broken) => {
                 self.leave_server(1001);
                 return Some(self.end.map_or("client-left", |end| end.code));
             }
-            Err(fault) => return self.wrong(fault),
+            Err(fault) => return self.protocol_error(fault),
         };
         if let Some(end) = self.end {
-            // Only its close is waited for.
+            // Only its close frame matters now.
             return matches!(frame, Frame::Close(_)).then_some(end.code);
         }
-        if self.is_ours(&frame, true) {
+        if self.take_own_pong(&frame, true) {
             return None;
         }
         if let Frame::Close(reason) = &frame {
-            self.client_closes = Some(reason.clone());
-            self.end = Some(End { code: "client-closed", due: Instant::now() + CLOSING });
+            self.client_close = Some(reason.clone());
+            self.end = Some(End { code: "client-closed", due: Instant::now() + CLOSE_TIMEOUT });
         }
-        let limits = self.member.settings().limits;
-        match self.up.pass(&frame, limits.message, false) {
-            Ok(Step::Whole(_)) => {
+        let limits = self.handle.settings().limits;
+        match self.from_client.pass(&frame, limits.message, false) {
+            Ok(FrameKind::MessageEnd(_)) => {
                 self.messages.0 += 1;
-                self.used = Instant::now();
-                self.place.said();
-                self.member.set_movable(self.place.movable());
+                self.last_message_at = Instant::now();
+                self.resume.client_message();
+                self.handle.set_movable(self.resume.movable());
             }
             Ok(_) => {}
-            Err(fault) => return self.unfit(fault),
+            Err(error) => return self.message_error(error),
         }
         match &mut self.server {
             Some(server) => server.put(again(frame)),
-            None => return self.client_closes.take().map(|reason| self.answer_close(reason)),
+            None => return self.client_close.take().map(|reason| self.answer_close(reason)),
         }
         None
     }
 
-    /// The client's close is answered as it was said.
+    /// Answers the client's close frame with the same reason.
     fn answer_close(&mut self, reason: Option<CloseReason>) -> &'static str {
         self.client.put(Message::Close(reason));
         "client-closed"
     }
 
-    /// What the client sent is no WebSocket: it hears so.
-    fn wrong(&mut self, fault: Fault) -> Option<&'static str> {
+    /// Closes the connection because the client broke the WebSocket protocol.
+    fn protocol_error(&mut self, fault: Fault) -> Option<&'static str> {
         if let Some(end) = self.end {
             return Some(end.code);
         }
         match fault {
-            Fault::TooLarge => self.finish("too-large", 1009, "too large"),
-            _ => self.finish("bad-frame", 1002, "this cannot be read"),
+            Fault::TooLarge => self.close("too-large", 1009, "too large"),
+            _ => self.close("bad-frame", 1002, "this cannot be read"),
         }
         None
     }
 
-    fn unfit(&mut self, fault: resume::Fault) -> Option<&'static str> {
-        match fault {
-            resume::Fault::TooLarge => self.finish("too-large", 1009, "too large"),
-            resume::Fault::NotText => self.finish("bad-text", 1007, "this is no text"),
+    /// Closes the connection because the client sent an invalid message.
+    fn message_error(&mut self, error: MessageError) -> Option<&'static str> {
+        match error {
+            MessageError::TooLarge => self.close("too-large", 1009, "too large"),
+            MessageError::NotText => self.close("bad-text", 1007, "this is no text"),
         }
         None
     }
 
-    fn server_sent(&mut self, frame: Result<Option<Frame>, Fault>) -> Option<&'static str> {
+    fn server_frame(&mut self, frame: Result<Option<Frame>, Fault>) -> Option<&'static str> {
         let frame = match frame {
             Ok(Some(frame)) => frame,
-            Ok(None) => return self.broke("server-closed"),
-            Err(Fault::Broken) => return self.broke("server-reset"),
-            // What is behind it cannot be read either: nobody knows where to go on.
-            Err(_) => return self.spoilt("server-bad-frame"),
+            Ok(None) => return self.server_broke("server-closed"),
+            Err(Fault::Broken) => return self.server_broke("server-reset"),
+            // The bytes after it cannot be framed either, so there is no point to resume from.
+            Err(_) => return self.server_unreadable("server-bad-frame"),
         };
-        if self.is_ours(&frame, false) {
+        if self.take_own_pong(&frame, false) {
             return None;
         }
         if let Frame::Close(reason) = &frame {
-            let leaves = reason.as_ref().is_some_and(|reason| matches!(u16::from(reason.code), 1001 | 1012));
-            if leaves && self.client_closes.is_none() {
-                // It goes, and the connection need not go with it.
-                return self.broke("server-leaves");
+            let server_leaves =
+                reason.as_ref().is_some_and(|reason| matches!(u16::from(reason.code), 1001 | 1012));
+            if server_leaves && self.client_close.is_none() {
+                // The connection may continue at another server.
+                return self.server_broke("server-leaves");
             }
             self.client.put(Message::Close(reason.clone()));
             self.leave_server(1000);
-            if self.client_closes.take().is_some() {
+            if self.client_close.take().is_some() {
                 return Some("client-closed");
             }
-            self.moving = None;
-            self.end = Some(End { code: "closed", due: Instant::now() + CLOSING });
+            self.pending_move = None;
+            self.end = Some(End { code: "closed", due: Instant::now() + CLOSE_TIMEOUT });
             return None;
         }
-        let told = self.member.settings();
-        match self.down.pass(&frame, told.limits.message, told.resume.any()) {
-            Ok(Step::Whole(text)) => {
+        let settings = self.handle.settings();
+        match self.from_server.pass(&frame, settings.limits.message, settings.resume.any()) {
+            Ok(FrameKind::MessageEnd(text)) => {
                 self.messages.1 += 1;
-                self.used = Instant::now();
-                self.place.heard(text.as_deref(), &told.resume);
-                self.member.set_movable(self.place.movable());
+                self.last_message_at = Instant::now();
+                self.resume.server_message(text.as_deref(), &settings.resume);
+                self.handle.set_movable(self.resume.movable());
             }
             Ok(_) => {}
-            Err(_) => return self.spoilt("server-bad-text"),
+            Err(_) => return self.server_unreadable("server-bad-text"),
         }
         self.client.put(again(frame));
         None
     }
 
-    /// What the server sent cannot be read: the client has part of it, so nobody can go on.
-    fn spoilt(&mut self, reason: &'static str) -> Option<&'static str> {
-        self.member.set_movable(false);
-        self.broke(reason)
+    /// The server's data cannot be read. The client may have part of the message, so no other server can resume.
+    fn server_unreadable(&mut self, reason: &'static str) -> Option<&'static str> {
+        self.handle.set_movable(false);
+        self.server_broke(reason)
     }
 
-    /// The server's side has ended without the connection's.
-    fn broke(&mut self, reason: &'static str) -> Option<&'static str> {
-        log!("websocket broke id={} server={} reason={reason}", self.member.name(), self.label);
+    /// The server's side has ended; the connection may continue at another server.
+    fn server_broke(&mut self, reason: &'static str) -> Option<&'static str> {
+        log!("websocket broke id={} server={} reason={reason}", self.handle.name(), self.server_label);
         self.leave_server(1001);
-        if let Some(reason) = self.client_closes.take() {
+        if let Some(reason) = self.client_close.take() {
             return Some(self.answer_close(reason));
         }
         if self.end.is_some() {
             return None;
         }
-        if self.down.open() || self.up.open() {
-            // A message that stops in its middle can't be gone on with.
-            self.member.set_movable(false);
+        if self.from_server.unfinished() || self.from_client.unfinished() {
+            // No other server can continue an unfinished message.
+            self.handle.set_movable(false);
         }
-        self.member.upstream_broke();
+        self.handle.upstream_broke();
         None
     }
 
-    // Time.
+    // Timeouts and pings.
 
-    /// Whether a frame is the answer to a ping of ours.
-    fn is_ours(&mut self, frame: &Frame, of_client: bool) -> bool {
+    /// Whether a frame is the pong to one of the router's own pings, which is not passed on. Clears the pending ping
+    /// if the pong answers it.
+    fn take_own_pong(&mut self, frame: &Frame, of_client: bool) -> bool {
         let leg = if of_client { Some(&mut self.client) } else { self.server.as_mut() };
-        let (Frame::Pong(said), Some(leg)) = (frame, leg) else { return false };
-        let asked = leg.asked.map(|(_, number)| payload(number));
-        if asked.is_none_or(|asked| asked != said) {
-            // A late answer to an earlier ping of ours is nobody else's either.
-            return said.starts_with(OURS);
+        let (Frame::Pong(payload), Some(leg)) = (frame, leg) else { return false };
+        let expected = leg.asked.map(|(_, number)| ping_payload(number));
+        if expected.is_none_or(|expected| expected != payload) {
+            // A late pong to an earlier ping of the router is not passed on either.
+            return payload.starts_with(PING_PREFIX);
         }
         leg.asked = None;
         true
     }
 
-    /// When something may be due.
-    fn next_look(&self) -> Instant {
-        let limits = self.member.settings().limits;
-        let of = |leg: &Leg| {
-            let sign = leg.asked.map_or(leg.heard + limits.ping, |(asked, _)| asked + limits.pong);
-            leg.stuck().map_or(sign, |stuck| sign.min(stuck + TAKES_NOTHING))
+    /// When the next timeout may be due.
+    fn next_due(&self) -> Instant {
+        let limits = self.handle.settings().limits;
+        let leg_due = |leg: &Leg| {
+            let heartbeat = leg.asked.map_or(leg.heard + limits.ping, |(pinged, _)| pinged + limits.pong);
+            leg.stuck().map_or(heartbeat, |stuck| heartbeat.min(stuck + WRITE_STALL_TIMEOUT))
         };
-        let mut next = of(&self.client).min(self.used + limits.idle);
+        let mut due = leg_due(&self.client).min(self.last_message_at + limits.idle);
         if let Some(server) = &self.server {
-            next = next.min(of(server));
+            due = due.min(leg_due(server));
         }
-        if let Some(moving) = self.moving.as_ref().filter(|moving| moving.attempt.is_none()) {
-            next = next.min(moving.until);
+        if let Some(pending) = self.pending_move.as_ref().filter(|pending| pending.attempt.is_none()) {
+            due = due.min(pending.message_end_by);
         }
-        self.end.map_or(next, |end| next.min(end.due))
+        self.end.map_or(due, |end| due.min(end.due))
     }
 
-    /// Time has passed: half-open peers are asked for a sign, or found to have gone.
-    fn look(&mut self) -> Option<&'static str> {
-        let (now, limits) = (Instant::now(), self.member.settings().limits);
+    /// Acts on timeouts that are due. Pings detect half-open connections.
+    fn check_timeouts(&mut self) -> Option<&'static str> {
+        let (now, limits) = (Instant::now(), self.handle.settings().limits);
         if let Some(end) = self.end.filter(|end| end.due <= now) {
-            if let Some(reason) = self.client_closes.take() {
+            if let Some(reason) = self.client_close.take() {
                 self.leave_server(1001);
                 return Some(self.answer_close(reason));
             }
             return Some(end.code);
         }
-        if self.moving.as_ref().is_some_and(|moving| moving.attempt.is_none() && moving.until <= now) {
-            self.moving = None;
-            self.member.attempt_ended(AttemptOutcome::Deferred);
+        if self
+            .pending_move
+            .as_ref()
+            .is_some_and(|pending| pending.attempt.is_none() && pending.message_end_by <= now)
+        {
+            self.pending_move = None;
+            self.handle.attempt_ended(AttemptOutcome::Deferred);
         }
-        let paused = !self.server.as_ref().is_some_and(Leg::has_room) || self.moving.is_some();
-        match sign(
+        let paused = !self.server.as_ref().is_some_and(Leg::has_room) || self.pending_move.is_some();
+        match check_liveness(
             &mut self.client,
             now,
             limits.ping,
@@ -490,61 +512,71 @@
             paused && self.end.is_none(),
             &mut self.pings,
         ) {
-            Sign::Well => {}
-            Sign::Silent => {
+            Liveness::Alive => {}
+            Liveness::Silent => {
                 self.leave_server(1001);
                 return Some("client-silent");
             }
-            Sign::Stuck => {
+            Liveness::Stuck => {
                 self.leave_server(1001);
                 return Some("slow-client");
             }
         }
-        let paused = !self.client.has_room() || self.moving.is_some();
+        let paused = !self.client.has_room() || self.pending_move.is_some();
         if let Some(server) = &mut self.server {
-            match sign(server, now, limits.ping, limits.pong, paused, &mut self.pings) {
-                Sign::Well => {}
-                Sign::Silent => return self.broke("server-silent"),
-                Sign::Stuck => return self.broke("server-stuck"),
+            match check_liveness(server, now, limits.ping, limits.pong, paused, &mut self.pings) {
+                Liveness::Alive => {}
+                Liveness::Silent => return self.server_broke("server-silent"),
+                Liveness::Stuck => return self.server_broke("server-stuck"),
             }
         }
-        if self.used + limits.idle <= now {
-            self.finish("idle", 1001, "nothing has passed for long");
+        if self.last_message_at + limits.idle <= now {
+            self.close("idle", 1001, "nothing has passed for long");
         }
         None
     }
 }
 
-fn payload(number: u64) -> Bytes {
-    Bytes::from([OURS, number.to_string().as_bytes()].concat())
+fn ping_payload(number: u64) -> Bytes {
+    Bytes::from([PING_PREFIX, number.to_string().as_bytes()].concat())
 }
 
-enum Sign {
-    Well,
+enum Liveness {
+    Alive,
+    /// No frame came within the pong timeout after a ping.
     Silent,
+    /// It has accepted no bytes for too long.
     Stuck,
 }
 
-/// Looks after one side. While it is not read from nothing can be heard of it, and nothing is asked.
-fn sign(leg: &mut Leg, now: Instant, ping: Duration, pong: Duration, paused: bool, pings: &mut u64) -> Sign {
-    if leg.stuck().is_some_and(|stuck| stuck + TAKES_NOTHING <= now) {
-        return Sign::Stuck;
+/// Checks one side, and pings it when it is due. While reading from it is paused nothing can be heard from it, so the
+/// timeouts do not run.
+fn check_liveness(
+    leg: &mut Leg,
+    now: Instant,
+    ping: Duration,
+    pong: Duration,
+    paused: bool,
+    pings: &mut u64,
+) -> Liveness {
+    if leg.stuck().is_some_and(|stuck| stuck + WRITE_STALL_TIMEOUT <= now) {
+        return Liveness::Stuck;
     }
     if paused {
         leg.heard = now;
         leg.asked = leg.asked.map(|(_, number)| (now, number));
-        return Sign::Well;
+        return Liveness::Alive;
     }
     match leg.asked {
-        // Anything that came since is as good a sign.
-        Some((asked, _)) if leg.heard > asked => leg.asked = None,
-        Some((asked, _)) if asked + pong <= now => return Sign::Silent,
+        // Any frame since the ping shows as much as its pong.
+        Some((pinged, _)) if leg.heard > pinged => leg.asked = None,
+        Some((pinged, _)) if pinged + pong <= now => return Liveness::Silent,
         None if leg.heard + ping <= now => {
             *pings += 1;
             leg.asked = Some((now, *pings));
-            leg.put(Message::Ping(payload(*pings)));
+            leg.put(Message::Ping(ping_payload(*pings)));
         }
         _ => {}
     }
-    Sign::Well
+    Liveness::Alive
 }
--- a/router/src/live/resume.rs
+++ b/router/src/live/resume.rs
@@ -1,209 +1,214 @@
-//! What passes over a long-lived connection, as far as it matters: whether text is text, where messages end, which one
-//! came last, and whether what the client said has been acknowledged. Knows neither sockets nor frames' bytes; takes
-//! no decision but whether a connection may move.
+//! Follows the messages of a long-lived connection: checks that text is UTF-8, finds message boundaries, and keeps the
+//! id of the server's last message and whether the client's messages have been acknowledged. From this follows whether
+//! the connection may move to another server. Does no I/O.
 
 use crate::config::websocket::Fields;
 use actix_http::ws::{Frame, Item};
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
 
-/// The id of a message is no longer than this: it goes into a header.
-const LONGEST_ID: usize = 256;
+/// Longest message id in bytes: the id is sent in a header.
+const MAX_ID_LEN: usize = 256;
 
-/// What a frame does that nobody may do.
+/// Why a message is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Text that is none: 1007.
+pub enum MessageError {
+    /// A text message that is not UTF-8: close code 1007.
     NotText,
-    /// A message that is larger than any may be: 1009.
+    /// A message over the size limit: close code 1009.
     TooLarge,
 }
 
-/// A message that is under way, in one direction.
+/// Follows the messages in one direction.
 #[derive(Default)]
-pub struct Message {
-    text: bool,
-    open: bool,
+pub struct MessageTracker {
+    is_text: bool,
+    unfinished: bool,
     size: usize,
-    /// The end of a character that has not come whole.
-    part: Vec<u8>,
-    /// What came of it, where its content matters.
-    kept: Vec<u8>,
+    /// The bytes so far of a character that a fragment boundary has cut.
+    partial_char: Vec<u8>,
+    /// The message's text so far, where it is needed.
+    text: Vec<u8>,
 }
 
-/// What a frame meant.
+/// What a frame was.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum FrameKind {
     /// A control frame.
     Control,
-    /// Part of a message that goes on.
-    Part,
-    /// A message is whole; with its text, where that matters.
-    Whole(Option<Vec<u8>>),
+    /// Part of a message that continues.
+    Fragment,
+    /// The end of a message; with the message's text, where that is needed.
+    MessageEnd(Option<Vec<u8>>),
 }
 
-impl Message {
-    /// Whether a message is under way.
-    pub fn open(&self) -> bool {
-        self.open
+impl MessageTracker {
+    /// Whether part of a message has passed and its end has not.
+    pub fn unfinished(&self) -> bool {
+        self.unfinished
     }
 
-    /// Bytes kept of it.
-    pub fn held(&self) -> usize {
-        self.kept.len()
+    /// Bytes of text kept.
+    pub fn buffered_bytes(&self) -> usize {
+        self.text.len()
     }
 
-    /// A frame passes; `most`: a message's largest size, `keep`: whether its text matters.
-    pub fn pass(&mut self, frame: &Frame, most: usize, keep: bool) -> Result<Step, Fault> {
-        let (piece, text, last) = match frame {
-            Frame::Text(piece) => (piece, Some(true), true),
-            Frame::Binary(piece) => (piece, Some(false), true),
-            Frame::Continuation(Item::FirstText(piece)) => (piece, Some(true), false),
-            Frame::Continuation(Item::FirstBinary(piece)) => (piece, Some(false), false),
-            Frame::Continuation(Item::Continue(piece)) => (piece, None, false),
-            Frame::Continuation(Item::Last(piece)) => (piece, None, true),
-            Frame::Ping(_) | Frame::Pong(_) | Frame::Close(_) => return Ok(Step::Control),
+    /// Takes the next frame. `max_size` limits a message; `keep_text`: whether its text is needed.
+    pub fn pass(
+        &mut self,
+        frame: &Frame,
+        max_size: usize,
+        keep_text: bool,
+    ) -> Result<FrameKind, MessageError> {
+        let (payload, is_text, last) = match frame {
+            Frame::Text(payload) => (payload, Some(true), true),
+            Frame::Binary(payload) => (payload, Some(false), true),
+            Frame::Continuation(Item::FirstText(payload)) => (payload, Some(true), false),
+            Frame::Continuation(Item::FirstBinary(payload)) => (payload, Some(false), false),
+            Frame::Continuation(Item::Continue(payload)) => (payload, None, false),
+            Frame::Continuation(Item::Last(payload)) => (payload, None, true),
+            Frame::Ping(_) | Frame::Pong(_) | Frame::Close(_) => return Ok(FrameKind::Control),
         };
-        if let Some(text) = text {
-            (self.text, self.size) = (text, 0);
-            self.part.clear();
-            self.kept.clear();
+        if let Some(is_text) = is_text {
+            (self.is_text, self.size) = (is_text, 0);
+            self.partial_char.clear();
+            self.text.clear();
         }
-        self.open = !last;
-        self.size = self.size.saturating_add(piece.len());
-        if self.size > most {
-            return Err(Fault::TooLarge);
+        self.unfinished = !last;
+        self.size = self.size.saturating_add(payload.len());
+        if self.size > max_size {
+            return Err(MessageError::TooLarge);
         }
-        if self.text {
-            self.check(piece, last)?;
+        if self.is_text {
+            self.check_utf8(payload, last)?;
         }
-        let keep = keep && self.text;
-        if keep {
-            self.kept.extend_from_slice(piece);
+        let keep_text = keep_text && self.is_text;
+        if keep_text {
+            self.text.extend_from_slice(payload);
         }
         if !last {
-            return Ok(Step::Part);
+            return Ok(FrameKind::Fragment);
         }
-        // Nothing is held for a connection between its messages.
-        self.part = Vec::new();
-        let kept = std::mem::take(&mut self.kept);
-        Ok(Step::Whole(keep.then_some(kept)))
+        // Frees the buffers, so that a connection takes no memory between its messages.
+        self.partial_char = Vec::new();
+        let text = std::mem::take(&mut self.text);
+        Ok(FrameKind::MessageEnd(keep_text.then_some(text)))
     }
 
-    /// Text is UTF-8 over its fragments, which may cut a character.
-    fn check(&mut self, piece: &[u8], last: bool) -> Result<(), Fault> {
+    /// Checks that text is UTF-8. A fragment boundary may cut a character.
+    fn check_utf8(&mut self, payload: &[u8], last: bool) -> Result<(), MessageError> {
         let joined: Vec<u8>;
-        let bytes = if self.part.is_empty() {
-            piece
+        let bytes = if self.partial_char.is_empty() {
+            payload
         } else {
-            joined = [self.part.as_slice(), piece].concat();
+            joined = [self.partial_char.as_slice(), payload].concat();
             &joined
         };
         let rest = match std::str::from_utf8(bytes) {
             Ok(_) => &[],
-            Err(error) if error.error_len().is_some() => return Err(Fault::NotText),
+            Err(error) if error.error_len().is_some() => return Err(MessageError::NotText),
             Err(error) => &bytes[error.valid_up_to()..],
         };
         if last && !rest.is_empty() {
-            return Err(Fault::NotText);
+            return Err(MessageError::NotText);
         }
-        self.part = rest.to_vec();
+        self.partial_char = rest.to_vec();
         Ok(())
     }
 }
 
-/// Where a connection stands: what a new server has to be told, and whether it can be.
+/// What a new server needs to resume a connection, and whether a move would lose or repeat messages.
 #[derive(Debug, Default)]
-pub struct Place {
+pub struct ResumeState {
     last_id: Option<String>,
-    /// Something came that a new server cannot be asked to go on behind.
-    lost: bool,
-    said: u64,
-    done: u64,
+    /// A message without a usable id has passed since `last_id`, so that a new server cannot resume after it.
+    unresumable: bool,
+    client_messages: u64,
+    acknowledged: u64,
 }
 
-impl Place {
-    /// The last message that the client got.
+impl ResumeState {
+    /// The id of the last message passed to the client.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Nothing would be lost, and nothing told twice, if another server took it now.
+    /// Whether another server could take over now without losing or repeating a message.
     pub fn movable(&self) -> bool {
-        !self.lost && self.done >= self.said
+        !self.unresumable && self.acknowledged >= self.client_messages
     }
 
-    /// The client said something whole.
-    pub fn said(&mut self) {
-        self.said += 1;
+    /// A message of the client has passed.
+    pub fn client_message(&mut self) {
+        self.client_messages += 1;
     }
 
-    /// A whole message of the server passed; none if its content is not known.
-    pub fn heard(&mut self, text: Option<&[u8]>, fields: &Fields) {
-        let told = text.and_then(|text| read(text, fields)).unwrap_or_default();
-        if let Some(ack) = told.ack {
-            self.done = self.done.max(ack.min(self.said));
+    /// A message of the server has passed. `text` is none if its content is not known.
+    pub fn server_message(&mut self, text: Option<&[u8]>, fields: &Fields) {
+        let members = text.and_then(|text| read(text, fields)).unwrap_or_default();
+        if let Some(ack) = members.ack {
+            self.acknowledged = self.acknowledged.max(ack.min(self.client_messages));
         }
-        // A word that only acknowledges needs no id: it is not part of what is followed.
-        let bare = told.ack.is_some() && told.id.is_none();
-        match told.id.filter(|id| fits(id)) {
-            Some(id) => (self.last_id, self.lost) = (Some(id), false),
-            None => self.lost |= !bare,
+        // A message that only acknowledges needs no id: it is not part of the stream that is resumed.
+        let only_ack = members.ack.is_some() && members.id.is_none();
+        match members.id.filter(|id| fits_header(id)) {
+            Some(id) => (self.last_id, self.unresumable) = (Some(id), false),
+            None => self.unresumable |= !only_ack,
         }
     }
 }
 
-/// Whether an id may stand in a header.
-fn fits(id: &str) -> bool {
-    !id.is_empty() && id.len() <= LONGEST_ID && id.bytes().all(|byte| (0x20..0x7f).contains(&byte))
+/// Whether an id can be sent in a header.
+fn fits_header(id: &str) -> bool {
+    !id.is_empty() && id.len() <= MAX_ID_LEN && id.bytes().all(|byte| (0x20..0x7f).contains(&byte))
 }
 
 #[derive(Debug, Default, PartialEq)]
-struct Told {
+struct Members {
     id: Option<String>,
     ack: Option<u64>,
 }
 
-/// The members that matter of a JSON object.
-fn read(text: &[u8], fields: &Fields) -> Option<Told> {
-    let mut from = serde_json::Deserializer::from_slice(text);
-    let told = Wanted(fields).deserialize(&mut from).ok()?;
-    from.end().ok()?;
-    Some(told)
+/// Reads the id and the acknowledgement from a JSON object.
+fn read(text: &[u8], fields: &Fields) -> Option<Members> {
+    let mut deserializer = serde_json::Deserializer::from_slice(text);
+    let members = MembersSeed(fields).deserialize(&mut deserializer).ok()?;
+    deserializer.end().ok()?;
+    Some(members)
 }
 
-struct Wanted<'f>(&'f Fields);
+struct MembersSeed<'f>(&'f Fields);
 
-impl<'de> DeserializeSeed<'de> for Wanted<'_> {
-    type Value = Told;
-    fn deserialize<D: serde::Deserializer<'de>>(self, from: D) -> Result<Told, D::Error> {
-        from.deserialize_map(self)
+impl<'de> DeserializeSeed<'de> for MembersSeed<'_> {
+    type Value = Members;
+    fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<Members, D::Error> {
+        deserializer.deserialize_map(self)
     }
 }
 
-impl<'de> Visitor<'de> for Wanted<'_> {
-    type Value = Told;
+impl<'de> Visitor<'de> for MembersSeed<'_> {
+    type Value = Members;
 
-    fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str("an object")
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("an object")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Told, A::Error> {
-        let mut told = Told::default();
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Members, A::Error> {
+        let mut members = Members::default();
         while let Some(key) = map.next_key::<std::borrow::Cow<'de, str>>()? {
             if self.0.id.as_deref() == Some(key.as_ref()) {
-                told.id = match map.next_value::<serde_json::Value>()? {
+                members.id = match map.next_value::<serde_json::Value>()? {
                     serde_json::Value::String(id) => Some(id),
                     serde_json::Value::Number(id) => Some(id.to_string()),
                     _ => None,
                 };
             } else if self.0.ack.as_deref() == Some(key.as_ref()) {
-                told.ack = map.next_value::<serde_json::Value>()?.as_u64();
+                members.ack = map.next_value::<serde_json::Value>()?.as_u64();
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
         }
-        Ok(told)
+        Ok(members)
     }
 }
 
@@ -216,51 +221,55 @@
         Fields { id: Some("id".to_owned()), ack: Some("ack".to_owned()) }
     }
 
-    /// A character may be cut by fragments, but not by a message's end; other bytes end it at once.
+    /// A fragment boundary may cut a character, a message's end may not; any other invalid byte fails at once.
     #[test]
-    fn text_is_checked_over_fragments() {
-        let first = |piece: &'static [u8]| Frame::Continuation(Item::FirstText(Bytes::from_static(piece)));
-        let last = |piece: &'static [u8]| Frame::Continuation(Item::Last(Bytes::from_static(piece)));
-        let mut message = Message::default();
-        assert_eq!(message.pass(&first(b"gr\xc3"), 100, true), Ok(Step::Part));
-        assert!(message.open());
-        assert_eq!(message.pass(&Frame::Ping(Bytes::new()), 100, true), Ok(Step::Control));
-        assert_eq!(message.pass(&last(b"\xbc\xc3\x9f"), 100, true), Ok(Step::Whole(Some("grüß".into()))));
-        assert_eq!(message.pass(&first(b"a\xe2\x82"), 100, true), Ok(Step::Part));
-        assert_eq!(message.pass(&last(b""), 100, true), Err(Fault::NotText));
-        assert_eq!(message.pass(&first(b"\xed\xa0\x80"), 100, true), Err(Fault::NotText));
+    fn utf8_is_checked_across_fragments() {
+        let first =
+            |payload: &'static [u8]| Frame::Continuation(Item::FirstText(Bytes::from_static(payload)));
+        let last = |payload: &'static [u8]| Frame::Continuation(Item::Last(Bytes::from_static(payload)));
+        let mut tracker = MessageTracker::default();
+        assert_eq!(tracker.pass(&first(b"gr\xc3"), 100, true), Ok(FrameKind::Fragment));
+        assert!(tracker.unfinished());
+        assert_eq!(tracker.pass(&Frame::Ping(Bytes::new()), 100, true), Ok(FrameKind::Control));
+        assert_eq!(
+            tracker.pass(&last(b"\xbc\xc3\x9f"), 100, true),
+            Ok(FrameKind::MessageEnd(Some("grüß".into())))
+        );
+        assert_eq!(tracker.pass(&first(b"a\xe2\x82"), 100, true), Ok(FrameKind::Fragment));
+        assert_eq!(tracker.pass(&last(b""), 100, true), Err(MessageError::NotText));
+        assert_eq!(tracker.pass(&first(b"\xed\xa0\x80"), 100, true), Err(MessageError::NotText));
         let binary = Frame::Binary(Bytes::from_static(b"\xff\xfe"));
-        assert_eq!(message.pass(&binary, 100, true), Ok(Step::Whole(None)));
-        assert_eq!(message.pass(&first(b"12345"), 8, false), Ok(Step::Part));
-        assert_eq!(message.pass(&last(b"6789"), 8, false), Err(Fault::TooLarge));
+        assert_eq!(tracker.pass(&binary, 100, true), Ok(FrameKind::MessageEnd(None)));
+        assert_eq!(tracker.pass(&first(b"12345"), 8, false), Ok(FrameKind::Fragment));
+        assert_eq!(tracker.pass(&last(b"6789"), 8, false), Err(MessageError::TooLarge));
     }
 
-    /// A connection moves only behind an id, and with nothing unacknowledged.
+    /// A connection is movable only after a message with an id and with no message unacknowledged.
     #[test]
-    fn what_would_be_lost_or_told_twice_does_not_move() {
-        let mut place = Place::default();
-        assert!(place.movable(), "nothing has passed");
-        place.heard(Some(br#"{"line":"x","id":"7"}"#), &fields());
-        assert_eq!((place.movable(), place.last_id()), (true, Some("7")));
-        place.heard(Some(br#"{"line":"no id"}"#), &fields());
-        assert!(!place.movable());
-        place.heard(Some(br#"{"id":8,"x":{"id":"inner"}}"#), &fields());
-        assert_eq!((place.movable(), place.last_id()), (true, Some("8")));
-        place.said();
-        place.said();
-        place.heard(Some(br#"{"ack":1}"#), &fields());
-        assert!(!place.movable());
-        place.heard(Some(br#"{"ack":99}"#), &fields());
-        assert!(place.movable());
-        place.said();
-        assert!(!place.movable(), "an acknowledgement ahead of its time counts for nothing");
+    fn connection_is_not_movable_if_a_message_would_be_lost_or_repeated() {
+        let mut state = ResumeState::default();
+        assert!(state.movable(), "nothing has passed");
+        state.server_message(Some(br#"{"line":"x","id":"7"}"#), &fields());
+        assert_eq!((state.movable(), state.last_id()), (true, Some("7")));
+        state.server_message(Some(br#"{"line":"no id"}"#), &fields());
+        assert!(!state.movable());
+        state.server_message(Some(br#"{"id":8,"x":{"id":"inner"}}"#), &fields());
+        assert_eq!((state.movable(), state.last_id()), (true, Some("8")));
+        state.client_message();
+        state.client_message();
+        state.server_message(Some(br#"{"ack":1}"#), &fields());
+        assert!(!state.movable());
+        state.server_message(Some(br#"{"ack":99}"#), &fields());
+        assert!(state.movable());
+        state.client_message();
+        assert!(!state.movable(), "an acknowledgement ahead of its time counts for nothing");
         for bad in [&b"{\"id\":\"a\\nb\"}"[..], b"[1]", b"{\"id\":", b"\xff"] {
-            let mut place = Place::default();
-            place.heard(Some(bad), &fields());
-            assert!(!place.movable());
+            let mut state = ResumeState::default();
+            state.server_message(Some(bad), &fields());
+            assert!(!state.movable());
         }
-        let mut place = Place::default();
-        place.heard(None, &fields());
-        assert!(!place.movable(), "binary messages have no id");
+        let mut state = ResumeState::default();
+        state.server_message(None, &fields());
+        assert!(!state.movable(), "binary messages have no id");
     }
 }
