--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -9,8 +9,8 @@
 pub mod resumed_answer;
 pub mod websocket;
 
-use crate::core::Untaken;
-use crate::exchange::{Broken, Call, ClientEnd, Exchange};
+use crate::core::NotSubmitted;
+use crate::exchange::{Call, ClientEnd, Exchange, IncompleteAnswer};
 use crate::headers::IDEMPOTENCY_KEY;
 use crate::lifecycle::Phase;
 use actix_http::body::{BodySize, BoxBody, MessageBody};
@@ -90,11 +90,11 @@
 pub fn count_unsubmitted(shared: &Shared, request: &Request, class: Option<ClassId>, status: StatusCode) {
     let client_closed = || request.conn_data::<Rc<Conn>>().is_some_and(|conn| conn.client_closed.get());
     let how = match status {
-        StatusCode::SERVICE_UNAVAILABLE => Untaken::Refused,
-        StatusCode::REQUEST_TIMEOUT if client_closed() => Untaken::Left,
-        _ => Untaken::Failed,
+        StatusCode::SERVICE_UNAVAILABLE => NotSubmitted::Refused,
+        StatusCode::REQUEST_TIMEOUT if client_closed() => NotSubmitted::Left,
+        _ => NotSubmitted::Failed,
     };
-    shared.core.untaken(class, how);
+    shared.core.count_not_submitted(class, how);
 }
 
 /// Makes the answer to this request the last one on its connection.
@@ -238,23 +238,26 @@
 }
 
 impl<R: Render> MessageBody for StreamedBody<R> {
-    type Error = Broken;
+    type Error = IncompleteAnswer;
 
     fn size(&self) -> BodySize {
         BodySize::Stream
     }
 
-    fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_next(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteAnswer>>> {
         let this = self.get_mut();
         while !this.broken {
-            match this.end.poll_piece(cx) {
+            match this.end.poll_chunk(cx) {
                 Poll::Ready(Some(Ok(piece))) => {
                     let piece = this.renderer.render(piece);
                     if !piece.is_empty() {
                         return Poll::Ready(Some(Ok(piece)));
                     }
                 }
-                Poll::Ready(Some(Err(Broken))) => {
+                Poll::Ready(Some(Err(IncompleteAnswer))) => {
                     // Earlier pieces must be written first: an error discards the server library's write buffer.
                     (this.broken, this.flushed) = (true, false);
                     let last = this.renderer.render_broken();
@@ -266,7 +269,7 @@
             }
         }
         if this.flushed {
-            return Poll::Ready(Some(Err(Broken)));
+            return Poll::Ready(Some(Err(IncompleteAnswer)));
         }
         this.flushed = true;
         cx.waker().wake_by_ref();
@@ -285,6 +288,6 @@
         Phase::Stopping => shared.inherited,
         phase => phase.takes_clients(),
     };
-    let healthy = takes_clients && shared.core.able();
+    let healthy = takes_clients && shared.core.can_serve();
     Response::new(if healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
--- a/router/src/clients/conn.rs
+++ b/router/src/clients/conn.rs
@@ -2,7 +2,7 @@
 //! is read from it. actix-http sets no time limit on a body or on a later head, buffers up to 128 KiB, and reads on
 //! while a request is in progress; this module adds the missing limits.
 
-use crate::exchange::Surrender;
+use crate::exchange::DetachRequest;
 use fawnstream_attempts::decisions::ConnectionFacts;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -68,7 +68,7 @@
     /// Signals that an answer ended while the router is draining, or that the connection is asked for.
     pub wake: Notify,
     /// The request for the connection, to continue its answer elsewhere.
-    pub surrender: RefCell<Option<Surrender>>,
+    pub surrender: RefCell<Option<DetachRequest>>,
     /// The socket, once the server library has dropped its stream.
     pub socket: RefCell<Option<TcpStream>>,
     /// It has been upgraded to another protocol.
@@ -159,7 +159,7 @@
     }
 
     /// Asks to hand the connection over, so that its answer continues elsewhere.
-    pub fn ask_to_surrender(&self, surrender: Surrender) {
+    pub fn ask_to_surrender(&self, surrender: DetachRequest) {
         self.surrender.replace(Some(surrender));
         self.wake.notify_one();
     }
--- a/router/src/clients/listener.rs
+++ b/router/src/clients/listener.rs
@@ -5,7 +5,7 @@
 use super::conn::{ClientStream, Conn};
 use crate::core::Core;
 use crate::lifecycle::{Lifecycle, Phase};
-use crate::live::Live;
+use crate::live::LiveConnections;
 use crate::log;
 use actix_codec::Framed;
 use actix_http::body::BoxBody;
@@ -71,7 +71,7 @@
     /// The clients' socket is inherited from the platform: another process may accept on it too.
     pub inherited: bool,
     /// Long-lived connections, if they are configured.
-    pub live: Option<Rc<Live>>,
+    pub live: Option<Rc<LiveConnections>>,
     /// Configuration reloads since the start: successful and failed.
     pub reloads: Cell<(u64, u64)>,
     /// Open connections; each is removed by its task when it ends.
@@ -92,7 +92,7 @@
     /// State with limits on client connections and on the bytes of all request bodies together.
     pub fn new(
         core: Rc<Core>,
-        live: Option<Rc<Live>>,
+        live: Option<Rc<LiveConnections>>,
         max_connections: usize,
         max_body_bytes: usize,
         inherited: bool,
@@ -365,7 +365,7 @@
                     let code = supervise(served, &conn, &shared).await;
                     if conn.owes_answer() && !UNANSWERED_END_CODES.contains(&code) {
                         let details = format!("connection={peer} code={code}");
-                        shared.core.violated(Invariant::ClosedUnanswered, &details);
+                        shared.core.record_violation(Invariant::ClosedUnanswered, &details);
                     }
                     drop(registration);
                     log!(
@@ -455,12 +455,12 @@
             _ = phase_changes.changed() => {}
             () = conn.wake.notified() => {
                 let surrender =
-                    conn.surrender.take().filter(|surrender| !surrender.is_void() && conn.can_surrender());
+                    conn.surrender.take().filter(|surrender| !surrender.is_cancelled() && conn.can_surrender());
                 if let Some(surrender) = surrender {
-                    surrender.begin();
+                    surrender.accept();
                     drop(served);
                     if let Some(socket) = conn.socket.take() {
-                        surrender.give(socket);
+                        surrender.complete(socket);
                     }
                     return "handed-over";
                 }
--- a/router/src/clients/openai.rs
+++ b/router/src/clients/openai.rs
@@ -129,7 +129,7 @@
         Opening::Stream => {
             let (mut collector, mut size) = (AnswerCollector::default(), 0);
             loop {
-                match poll_fn(|cx| end.poll_piece(cx)).await {
+                match poll_fn(|cx| end.poll_chunk(cx)).await {
                     Some(Ok(piece)) => {
                         size += piece.len();
                         if size > MAX_ANSWER_BYTES {
--- a/router/src/clients/openai/api.rs
+++ b/router/src/clients/openai/api.rs
@@ -249,7 +249,7 @@
             idempotency_key: None,
             target: super::CHAT_PATH.to_owned(),
             body: self.body.clone(),
-            _held: Some(Box::new(reservation)),
+            _reservation: Some(Box::new(reservation)),
         }
     }
 }
--- a/router/src/clients/platform.rs
+++ b/router/src/clients/platform.rs
@@ -60,7 +60,7 @@
             return Err(RequestError::Field("the body is no JSON".to_owned()));
         }
         call.body = bytes;
-        call._held = Some(Box::new(reservation));
+        call._reservation = Some(Box::new(reservation));
         submit(&shared, &request, call)
     };
     let mut end = match submitted.await {
@@ -86,7 +86,7 @@
     match end.opening().await {
         Opening::Stream => {
             if let Some(conn) = request.conn_data::<Rc<Conn>>().cloned() {
-                end.on_surrender(move |surrender| conn.ask_to_surrender(surrender));
+                end.on_detach_request(move |surrender| conn.ask_to_surrender(surrender));
             }
             Response::build(StatusCode::OK)
                 .insert_header((CONTENT_TYPE, "text/event-stream"))
@@ -173,7 +173,7 @@
         idempotency_key: idempotency_key(head)?,
         target: String::new(),
         body: Bytes::new(),
-        _held: None,
+        _reservation: None,
     })
 }
 
--- a/router/src/clients/resumed_answer.rs
+++ b/router/src/clients/resumed_answer.rs
@@ -3,7 +3,7 @@
 
 use super::conn::{Conn, WRITE_STALL_TIMEOUT};
 use super::listener::linger;
-use super::{Broken, Shared};
+use super::{IncompleteAnswer, Shared};
 use crate::exchange::ClientEnd;
 use crate::log;
 use bytes::Bytes;
@@ -23,14 +23,14 @@
     let _registration = shared.register(&conn);
     let _guard = conn.start_request();
     let surrendering = conn.clone();
-    end.on_surrender(move |surrender| surrendering.ask_to_surrender(surrender));
+    end.on_detach_request(move |surrender| surrendering.ask_to_surrender(surrender));
     let code = loop {
         tokio::select! {
             biased;
-            piece = poll_fn(|cx| end.poll_piece(cx)) => {
+            piece = poll_fn(|cx| end.poll_chunk(cx)) => {
                 let bytes = match piece {
                     Some(Ok(piece)) => chunk(&piece),
-                    Some(Err(Broken)) => break "answer-broken",
+                    Some(Err(IncompleteAnswer)) => break "answer-broken",
                     None => Bytes::from_static(b"0\r\n\r\n"),
                 };
                 let last = bytes.len() == 5;
@@ -46,10 +46,10 @@
                 }
             }
             () = conn.wake.notified() => {
-                if let Some(surrender) = conn.surrender.take().filter(|surrender| !surrender.is_void()) {
-                    surrender.begin();
+                if let Some(surrender) = conn.surrender.take().filter(|surrender| !surrender.is_cancelled()) {
+                    surrender.accept();
                     drop(end);
-                    return surrender.give(socket);
+                    return surrender.complete(socket);
                 }
             }
             () = client_close(&socket) => break "client-closed",
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -5,7 +5,7 @@
 use super::{Shared, retry_after_value};
 use crate::config::websocket::{Route, WebSocket};
 use crate::live::relay::{Relay, open_upstream};
-use crate::live::{Live, Order, turned_name};
+use crate::live::{LiveConnections, RelayCommand, refusal_name};
 use crate::servers::upgrade::UpgradeRequest;
 use crate::websocket_stream::WebSocketStream;
 use actix_codec::Framed;
@@ -211,7 +211,7 @@
 
 /// Serves one connection from its upgrade to its end.
 pub async fn serve(
-    live: Rc<Live>,
+    live: Rc<LiveConnections>,
     shared: Rc<Shared>,
     connect: Duration,
     request: Request,
@@ -223,20 +223,20 @@
         conn.take_request_due();
         conn.upgraded.set(true);
     }
-    let config = live.told();
+    let config = live.settings();
     let (route, tenant, ask) = match check_upgrade(&config, &request) {
         Ok(checked) => checked,
         Err(error) => {
-            live.refused(error.name());
+            live.count_refused(error.name());
             crate::log!("websocket refused path={:?} reason={}", request.path(), error.name());
             return refuse(framed, error.answer(), conn.as_ref()).await;
         }
     };
     let tenant_name = shared.core.tenant_name(tenant).to_owned();
     let log_refusal = |name: &str, reason: Refusal| {
-        crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", turned_name(reason));
+        crate::log!("websocket refused id={name} tenant={tenant_name:?} reason={}", refusal_name(reason));
     };
-    let mut member = match live.ask(tenant, route.safe) {
+    let mut member = match live.enqueue(tenant, route.safe) {
         Ok(member) => member,
         Err((reason, delay)) => {
             log_refusal("-", reason);
@@ -246,30 +246,30 @@
     let (name, ask) = (member.name(), Rc::new(ask));
     // The session decisions choose the servers to try, and bound every wait.
     let upstream = loop {
-        match member.orders.recv().await {
-            Some(Order::Try(server)) => {
+        match member.commands.recv().await {
+            Some(RelayCommand::OpenUpstream(server)) => {
                 let label = server.label.clone();
                 match Box::pin(open_upstream(&member, server, &ask, None, connect)).await {
                     Ok(upstream) => break Some((upstream, label)),
                     Err(error) => {
                         crate::log!("websocket attempt id={name} server={label} reason={}", error.reason);
                         if error.unusable {
-                            member.turned("unusable");
+                            member.refused("unusable");
                             let answer = Response::build(StatusCode::BAD_GATEWAY).force_close().finish();
                             return refuse(framed, answer.map_into_boxed_body(), conn.as_ref()).await;
                         }
-                        member.tried(error.outcome);
+                        member.attempt_ended(error.outcome);
                     }
                 }
             }
-            Some(Order::Turn(reason, delay)) => {
+            Some(RelayCommand::Refuse(reason, delay)) => {
                 log_refusal(&name, reason);
-                member.turned(turned_name(reason));
+                member.refused(refusal_name(reason));
                 return refuse(framed, refusal_response(reason, delay), conn.as_ref()).await;
             }
-            Some(Order::Close(_, delay)) => {
+            Some(RelayCommand::Close(_, delay)) => {
                 log_refusal(&name, Refusal::Draining);
-                member.turned(turned_name(Refusal::Draining));
+                member.refused(refusal_name(Refusal::Draining));
                 return refuse(framed, refusal_response(Refusal::Draining, delay), conn.as_ref()).await;
             }
             None => break None,
@@ -286,10 +286,10 @@
     let written = Pin::new(&mut framed).write(h1::Message::Item((head, size))).is_ok();
     let flush = poll_fn(|cx| Pin::new(&mut framed).flush::<h1::Message<(Response<()>, BodySize)>>(cx));
     let flushed = written && matches!(actix_rt::time::timeout(ANSWER_TIMEOUT, flush).await, Ok(Ok(())));
-    member.tried(fawnstream_sessions::AttemptOutcome::Opened);
+    member.attempt_ended(fawnstream_sessions::AttemptOutcome::Opened);
     if !flushed {
         crate::log!("websocket id={name} server={label} code=client-left");
-        return member.turned("client-left");
+        return member.refused("client-left");
     }
     member.opened();
     // Frees what only the upgrade needed: the connection may stay open for hours.
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -8,8 +8,8 @@
 mod liveness;
 pub mod upgrade;
 
-use crate::core::{Core, Ended, Order, RepeatLimits, Server};
-use crate::exchange::{Call, ClientEnd, Exchange, Left};
+use crate::core::{AttemptOrder, AttemptResult, Core, RepeatLimits, Server};
+use crate::exchange::{Call, ClientEnd, ClientLeft, Exchange};
 use crate::handover::{Carried, Form, Framing, Handover, Stays, Text};
 use crate::headers::IDEMPOTENCY_KEY;
 use crate::log;
@@ -123,11 +123,11 @@
         let class = self.core.names().classes.iter().position(|class| *class == form.class);
         let age = Duration::from_millis(form.age_ms.min(MAX_REQUEST_AGE_MS));
         let prompt_len = form.bill.as_ref().map_or(0.0, |bill| bill.prompt);
-        let call = Call::carried(form.label, class.map(ClassId), age, prompt_len);
+        let call = Call::taken_over(form.label, class.map(ClassId), age, prompt_len);
         let exchange = Exchange::new(call);
         let servers = self.clone();
         Some(Box::new(move || {
-            let Some((order, end)) = servers.core.carry(exchange, &form.server, form.address, form.bill)
+            let Some((order, end)) = servers.core.take_over(exchange, &form.server, form.address, form.bill)
             else {
                 return log!("handover dropped reason=twice");
             };
@@ -143,7 +143,7 @@
 }
 
 impl crate::core::Servers for ServerClient {
-    fn send(&self, mut order: Order) {
+    fn send(&self, mut order: AttemptOrder) {
         let (core, pool, handover) = (self.core.clone(), self.pool.clone(), self.handover.clone());
         let pending_closes = self.pending_closes.clone();
         actix_rt::spawn(async move {
@@ -154,13 +154,13 @@
                 handover: &handover,
                 pending_closes: &pending_closes,
             };
-            if let Some(after) = order.after.take() {
+            if let Some(after) = order.release_done.take() {
                 order.write_by = tokio::select! {
                     biased;
                     // Fails only when the core has ended.
                     write_by = after => write_by.unwrap_or_default(),
                     _ = &mut order.stop => {
-                        return core.ended(request, attempt, Ended::unsent(Verdict::Cancelled, "cancelled"));
+                        return core.attempt_ended(request, attempt, AttemptResult::unsent(Verdict::Cancelled, "cancelled"));
                     }
                 };
             }
@@ -168,18 +168,22 @@
                 biased;
                 () = pending_closes.wait(request) => {}
                 // Too late to begin: `run_attempt` reports that.
-                () = actix_rt::time::sleep_until(order.until.into()) => {}
+                () = actix_rt::time::sleep_until(order.answer_by.into()) => {}
                 _ = &mut order.stop => {
-                    return core.ended(request, attempt, Ended::unsent(Verdict::Cancelled, "cancelled"));
+                    return core.attempt_ended(request, attempt, AttemptResult::unsent(Verdict::Cancelled, "cancelled"));
                 }
             }
             let Some(connection) = pool.take(&order.server) else {
-                return core.ended(request, attempt, Ended::unsent(Verdict::Moot, "no-sockets"));
+                return core.attempt_ended(
+                    request,
+                    attempt,
+                    AttemptResult::unsent(Verdict::Moot, "no-sockets"),
+                );
             };
             let (idle, observer) = (connection.idle_time(), connection.observer());
             let sent_at = Instant::now();
             let ended = run_attempt(&mut context, order, connection).await;
-            let ended = ended.map(|ended| Ended { idle, connection: Some(observer.info()), ..ended });
+            let ended = ended.map(|ended| AttemptResult { idle, connection: Some(observer.info()), ..ended });
             if let (Some(idle), Some("reset" | "closed")) = (idle, ended.as_ref().map(|ended| ended.reason))
                 && sent_at.elapsed() < EARLY_BREAK_WINDOW
             {
@@ -262,7 +266,7 @@
 /// How the relay of a stream ended.
 enum RelayEnd {
     /// The attempt is over.
-    Ended(Ended),
+    Ended(AttemptResult),
     /// The stream continues in another process.
     HandedOver,
     /// The stream continues here without awc and the HTTP server library: its connections were detached from them, but
@@ -272,8 +276,8 @@
 
 impl AttemptContext<'_> {
     /// Closes the connection of an attempt that may still run at its server, if another attempt may follow.
-    fn abandon(&self, order: &Order, connection: &ServerConnection) {
-        if connection.delivery().may_have_run() && order.exchange.waits() {
+    fn abandon(&self, order: &AttemptOrder, connection: &ServerConnection) {
+        if connection.delivery().may_have_run() && order.exchange.awaits_answer() {
             let permit = self.pool.permit();
             self.pending_closes
                 .begin(order.request, permit.and_then(|permit| Some((connection.detach()?, permit))));
@@ -284,10 +288,10 @@
     /// to begin by `begin_by`. At most half of the time until then is used, so that another server can be tried.
     async fn sign_of_life(
         &self,
-        order: &mut Order,
+        order: &mut AttemptOrder,
         connection: &ServerConnection,
         begin_by: Instant,
-    ) -> Result<(), Ended> {
+    ) -> Result<(), AttemptResult> {
         let address = order.server.address;
         let left = begin_by.saturating_duration_since(Instant::now());
         let timeout = (left / 2).min(self.pool.connect_timeout());
@@ -295,43 +299,43 @@
         let result = tokio::select! {
             biased;
             result = probe => result,
-            _ = &mut order.stop => return Err(Ended::unsent(Verdict::Cancelled, "cancelled")),
+            _ = &mut order.stop => return Err(AttemptResult::unsent(Verdict::Cancelled, "cancelled")),
             () = lease_expired(order.write_by, connection) => {
-                return Err(Ended::unsent(Verdict::Expired, "expired"));
+                return Err(AttemptResult::unsent(Verdict::Expired, "expired"));
             }
             () = actix_rt::time::sleep(timeout) => Err(liveness::ProbeError::NoAnswer),
         };
         self.core.repeat_counts().count_asked(result.is_ok());
         match result {
             Ok(()) => {
-                order.server.spoke.set(Some(Instant::now()));
+                order.server.last_heard.set(Some(Instant::now()));
                 Ok(())
             }
             Err(liveness::ProbeError::NoConnection(error)) => {
                 let (verdict, _, reason) = send_error(&error, connection);
-                Err(Ended::unsent(verdict, reason))
+                Err(AttemptResult::unsent(verdict, reason))
             }
             Err(liveness::ProbeError::NoAnswer) => {
-                Err(Ended::unsent(Verdict::NoSignOfLife, "no-sign-of-life"))
+                Err(AttemptResult::unsent(Verdict::NoSignOfLife, "no-sign-of-life"))
             }
         }
     }
 
     /// Reports the end of an attempt to the core; `None` means that its stream was handed over.
-    fn report_end(&self, request: RequestId, attempt: Attempt, ended: Option<Ended>) {
+    fn report_end(&self, request: RequestId, attempt: Attempt, ended: Option<AttemptResult>) {
         match ended {
-            Some(ended) => self.core.ended(request, attempt, ended),
-            None => self.core.handed(request, attempt),
+            Some(ended) => self.core.attempt_ended(request, attempt, ended),
+            None => self.core.handed_over(request, attempt),
         }
     }
 
     /// Relays a stream without awc to its end. `None` if it was handed over.
     async fn relay_raw(
         &mut self,
-        mut order: Order,
+        mut order: AttemptOrder,
         mut raw: RawConnection,
         mut events: EventBuffer,
-    ) -> Option<Ended> {
+    ) -> Option<AttemptResult> {
         loop {
             let stalled_at = Instant::now() + STALL_TIMEOUT;
             match relay(self, &mut order, Source::Raw(&mut raw), &mut events, Some(stalled_at)).await {
@@ -339,7 +343,7 @@
                 RelayEnd::HandedOver => return None,
                 RelayEnd::Declined(server, framing, client) => {
                     let Some(next) = self.resume_raw(&order, server, framing, client) else {
-                        order.exchange.close(false);
+                        order.exchange.end_answer(false);
                         return Some(stream_ended(&events, Verdict::Reset, "handover-failed"));
                     };
                     raw = next;
@@ -351,19 +355,24 @@
     /// Resumes a stream that the other process declined, on its detached connections.
     fn resume_raw(
         &self,
-        order: &Order,
+        order: &AttemptOrder,
         server: TcpStream,
         framing: Framing,
         client: TcpStream,
     ) -> Option<RawConnection> {
         let raw = RawConnection::new(server, framing, self.pool.permit()?)?;
-        let end = self.core.client_again(order.request, &order.exchange);
-        self.core.bare(end, client);
+        let end = self.core.reattach_client(order.request, &order.exchange);
+        self.core.serve_detached(end, client);
         Some(raw)
     }
 
     /// Offers a stream, between two chunks, to the other process. `None` if the stream continues as it is.
-    async fn offer(&self, order: &Order, source: &mut Source<'_>, events: &EventBuffer) -> Option<RelayEnd> {
+    async fn offer(
+        &self,
+        order: &AttemptOrder,
+        source: &mut Source<'_>,
+        events: &EventBuffer,
+    ) -> Option<RelayEnd> {
         let log_kept =
             |reason: &Stays| log!("handover kept id={} reason={reason}", order.exchange.call.label);
         let call = match self.handover.call().await {
@@ -375,7 +384,7 @@
         };
         let framing = source.framing()?;
         // The client's side comes first: if it cannot give up its connection, nothing has changed.
-        let client = order.exchange.surrender().await?;
+        let client = order.exchange.detach_client().await?;
         let form = Form {
             label: order.exchange.call.label.clone(),
             class: self.core.class_name(order.exchange.call.class).to_owned(),
@@ -401,23 +410,23 @@
 }
 
 /// The end of an attempt whose stream has ended.
-fn stream_ended(events: &EventBuffer, verdict: Verdict, reason: &'static str) -> Ended {
-    Ended {
+fn stream_ended(events: &EventBuffer, verdict: Verdict, reason: &'static str) -> AttemptResult {
+    AttemptResult {
         kept: events.cached_tokens,
         used: events.usage,
         report: events.report,
-        ..Ended::new(verdict, Evidence::Server, Delivery::Answered, reason)
+        ..AttemptResult::new(verdict, Evidence::Server, Delivery::Answered, reason)
     }
 }
 
 /// Runs one attempt from its send to its end. `None` if its stream was handed over.
 async fn run_attempt(
     context: &mut AttemptContext<'_>,
-    mut order: Order,
+    mut order: AttemptOrder,
     connection: ServerConnection,
-) -> Option<Ended> {
+) -> Option<AttemptResult> {
     let (core, pool) = (context.core, context.pool);
-    let useful_until = order.until.checked_sub(MIN_ATTEMPT_TIME).unwrap_or(order.until);
+    let useful_until = order.answer_by.checked_sub(MIN_ATTEMPT_TIME).unwrap_or(order.answer_by);
     let check = BeginCheck {
         server: order.server.clone(),
         exchange: order.exchange.clone(),
@@ -428,7 +437,7 @@
     if let Some(forbidden) = check.forbidden(SignOfLife::NotNeeded) {
         let (verdict, reason) = not_begun(forbidden);
         pool.put_back_unused(connection);
-        return Some(Ended::unsent(verdict, reason));
+        return Some(AttemptResult::unsent(verdict, reason));
     }
     if check.needs_sign_of_life
         && let Err(ended) = context.sign_of_life(&mut order, &connection, check.begin_by).await
@@ -445,7 +454,7 @@
         order.deadline,
         body,
     );
-    let until = order.until;
+    let until = order.answer_by;
     let interrupted = |connection: &ServerConnection, verdict, reason| {
         connection.set_close_code(reason);
         let delivery = connection.delivery();
@@ -454,7 +463,7 @@
         let verdict = if verdict == Verdict::Timeout && unsent { Verdict::NoRoute } else { verdict };
         // If nothing came back, the server may not have read the request yet.
         let evidence = if delivery == Delivery::Written { Evidence::Silence } else { Evidence::Router };
-        Ended::new(verdict, evidence, delivery, reason)
+        AttemptResult::new(verdict, evidence, delivery, reason)
     };
     // Lives until the close code is set, since dropping it ends the connection.
     let mut request = std::pin::pin!(request);
@@ -490,7 +499,7 @@
             if evidence == Evidence::Router {
                 context.abandon(&order, &connection);
             }
-            return Some(Ended::new(verdict, evidence, connection.delivery(), reason));
+            return Some(AttemptResult::new(verdict, evidence, connection.delivery(), reason));
         }
     };
     let rejected = answer.headers().get("X-Rejected").is_some_and(|value| value.as_bytes() == b"1");
@@ -498,7 +507,7 @@
     let (verdict, reason) = match (answer.status(), order.server.role) {
         (StatusCode::OK, Role::Writer | Role::Mixed) => {
             // Reported now, since it describes the load at this moment and the stream may take seconds.
-            core.reported(&order.server, load_report);
+            core.record_load_report(&order.server, load_report);
             let mut events = EventBuffer::default();
             let source = Source::Awc(&mut answer, &connection);
             return match relay(context, &mut order, source, &mut events, None).await {
@@ -517,7 +526,7 @@
                     match context.resume_raw(&order, server, framing, client) {
                         Some(raw) => context.relay_raw(order, raw, events).await,
                         None => {
-                            order.exchange.close(false);
+                            order.exchange.end_answer(false);
                             Some(stream_ended(&events, Verdict::Reset, "handover-failed"))
                         }
                     }
@@ -554,11 +563,11 @@
     let cached_tokens = read_body
         .and_then(|body| serde_json::from_slice::<ReadResult>(&body).ok())
         .map(|result| result.cached_tokens);
-    Some(Ended {
+    Some(AttemptResult {
         kept: cached_tokens,
         report: load_report,
         unusable: reason == "unusable",
-        ..Ended::new(verdict, evidence, delivery, reason)
+        ..AttemptResult::new(verdict, evidence, delivery, reason)
     })
 }
 
@@ -618,7 +627,7 @@
     }
     let server_has_read = || {
         let read_by = connection.written_at().map(|written_at| written_at + MAX_TRANSIT);
-        read_by.is_some_and(|read_by| server.spoke.get().is_some_and(|spoke| spoke > read_by))
+        read_by.is_some_and(|read_by| server.last_heard.get().is_some_and(|spoke| spoke > read_by))
     };
     if repeat.is_none() || connection.delivery() != Delivery::Written || server_has_read() {
         std::future::pending::<()>().await;
@@ -680,13 +689,13 @@
 /// it counts as stalled.
 async fn relay(
     context: &AttemptContext<'_>,
-    order: &mut Order,
+    order: &mut AttemptOrder,
     mut source: Source<'_>,
     events: &mut EventBuffer,
     stalled_at: Option<Instant>,
 ) -> RelayEnd {
     let mut started = stalled_at.is_some();
-    let mut timeout_at = stalled_at.unwrap_or(order.until);
+    let mut timeout_at = stalled_at.unwrap_or(order.answer_by);
     let mut next_offer = Instant::now();
     // The stream has timed out and is read once more.
     let mut rechecking = false;
@@ -713,13 +722,13 @@
         };
         match next {
             Some(Ok(bytes)) => {
-                context.core.heard(&order.server);
+                context.core.record_activity(&order.server);
                 let Ok(complete) = events.feed(&bytes) else { break (Verdict::Spoilt, "garbage") };
                 if complete.is_empty() {
                     continue;
                 }
                 if !started {
-                    if !context.core.started(order.request, order.attempt) {
+                    if !context.core.answer_began(order.request, order.attempt) {
                         break (Verdict::Cancelled, "not-wanted");
                     }
                     started = true;
@@ -747,7 +756,7 @@
         }
     };
     if started {
-        order.exchange.close(verdict == Verdict::Ok);
+        order.exchange.end_answer(verdict == Verdict::Ok);
     }
     RelayEnd::Ended(stream_ended(events, verdict, reason))
 }
@@ -759,11 +768,11 @@
 }
 
 /// Passes events to the client; waits while it is slow.
-async fn push(order: &mut Order, events: Bytes) -> Result<(), &'static str> {
+async fn push(order: &mut AttemptOrder, events: Bytes) -> Result<(), &'static str> {
     tokio::select! {
         biased;
         _ = &mut order.stop => Err("client-left"),
-        pushed = order.exchange.push(events) => pushed.map_err(|Left| "client-left"),
+        pushed = order.exchange.push(events) => pushed.map_err(|ClientLeft| "client-left"),
         () = actix_rt::time::sleep(SLOW_CLIENT_TIMEOUT) => Err("slow-client"),
     }
 }
@@ -792,7 +801,7 @@
     if !matches!(answered, Ok(Some(_))) {
         return ReleaseOutcome::Failed;
     }
-    server.spoke.set(Some(Instant::now()));
+    server.last_heard.set(Some(Instant::now()));
     pool.put_back(connection);
     ReleaseOutcome::Answered
 }
--- a/router/src/servers/link.rs
+++ b/router/src/servers/link.rs
@@ -72,8 +72,8 @@
     /// Why the attempt must not begin now; `None` if it may.
     pub fn forbidden(&self, sign_of_life: SignOfLife) -> Option<NotBegun> {
         let facts = BeginFacts {
-            client_waits: self.exchange.waits(),
-            draining_for: self.server.told.get().map(|told| told.elapsed()),
+            client_waits: self.exchange.awaits_answer(),
+            draining_for: self.server.draining_since.get().map(|told| told.elapsed()),
             drain_grace: self.drain_grace,
             time_left: self.begin_by.checked_duration_since(Instant::now()),
             sign_of_life,
@@ -138,7 +138,7 @@
         self.answered.set(true);
         self.last_read.set(Some(now));
         if let Some(check) = self.begin_check.borrow().as_ref() {
-            check.server.spoke.set(Some(now));
+            check.server.last_heard.set(Some(now));
         }
     }
 
@@ -789,7 +789,12 @@
             return connection.set_close_code("unread-bytes");
         }
         // Taking the check drops its reference to the request, which ends with its attempt.
-        if connection.state.begin_check.take().is_some_and(|check| check.server.told.get().is_some()) {
+        if connection
+            .state
+            .begin_check
+            .take()
+            .is_some_and(|check| check.server.draining_since.get().is_some())
+        {
             return connection.set_close_code("server-left");
         }
         (connection.idle_since, connection.used) = (Instant::now(), true);
