--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -271,7 +271,7 @@
     // connection that is still open, would speak for both.
     let takes = match shared.life.phase() {
         Phase::Stopping => shared.inherited,
-        phase => phase.takes_clients(),
+        phase => phase.accepts_clients(),
     };
     let able = takes && shared.core.able();
     Response::new(if able { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
--- a/router/src/clients/listener.rs
+++ b/router/src/clients/listener.rs
@@ -270,7 +270,7 @@
         async move {
             let conn = request.conn_data::<Rc<Conn>>().cloned();
             let mut response = front(shared.clone(), request).await;
-            if shared.life.phase().sends_away() {
+            if shared.life.phase().is_draining() {
                 response.head_mut().set_connection_type(ConnectionType::Close);
             }
             if let Some(conn) = conn.filter(|_| !response.head().keep_alive()) {
@@ -393,7 +393,7 @@
     let mut ending: Option<Ending> = None;
     let code = loop {
         let now = Instant::now();
-        let away = shared.life.away_since();
+        let away = shared.life.draining_since();
         let by = |due: Instant| away.filter(|_| conn.begun()).map_or(due, |away| due.min(away + LAST_HEAD));
         let free = away.map(|away| away + LAST_USE).filter(|_| conn.idle() && !conn.begun());
         // Its first request may be on its way.
@@ -519,7 +519,7 @@
         Err(DispatchError::Io(_)) => "reset",
         Err(_) => "error",
         Ok(()) if conn.ended.get() => "client-closed",
-        Ok(()) if phase.sends_away() => phase.name(),
+        Ok(()) if phase.is_draining() => phase.name(),
         Ok(()) if conn.requests.get() == 0 => "no-request",
         Ok(()) => "closed",
     }
--- a/router/src/clients/openai/render.rs
+++ b/router/src/clients/openai/render.rs
@@ -3,14 +3,14 @@
 use super::super::Render;
 use super::api::Chat;
 use super::{broken_event, object, usage};
-use crate::sse::{self, Lines};
+use crate::sse::{self, LineSplitter};
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use std::fmt::Write;
 
 /// A stream of chunks.
 pub struct Chunks {
-    lines: Lines,
+    lines: LineSplitter,
     id: String,
     created: u64,
     model: String,
@@ -22,7 +22,7 @@
     /// Renders the answer to this request.
     pub fn new(id: String, created: u64, chat: &Chat) -> Self {
         let (model, usage) = (chat.model.clone(), chat.usage);
-        Chunks { lines: Lines::default(), id, created, model, usage, begun: false }
+        Chunks { lines: LineSplitter::default(), id, created, model, usage, begun: false }
     }
 
     fn chunk(&mut self, mut object: Map<String, Value>) -> Option<Value> {
@@ -78,7 +78,7 @@
 /// A whole answer, gathered from a stream.
 #[derive(Default)]
 pub struct Whole {
-    lines: Lines,
+    lines: LineSplitter,
     message: Map<String, Value>,
     finish: Value,
     usage: Option<Value>,
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -278,7 +278,7 @@
     }
     member.opened();
     // What the upgrade needed goes now: the connection may stay for hours.
-    let leg = leg(wire, told.limits.frame);
+    let leg = leg(wire, told.limits.max_frame_bytes);
     drop((request, told));
     let class = shared.core.class_name(route.class).to_owned();
     Relay::new(member, leg, upstream, ask, connect, label).run(&class, &tenant_name).await;
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// Descriptors kept for the listeners, the list's watch, operators' callers, standard streams and the runtime.
-const SPARE_SOCKETS: usize = 32 + MOST_CALLERS;
+const SPARE_SOCKETS: usize = 32 + MAX_OPERATOR_CONNECTIONS;
 /// Operators' callers at once.
-pub const MOST_CALLERS: usize = 16;
+pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
 /// Part of the others that clients may hold; the rest is for servers.
 const CLIENT_PART: f64 = 0.55;
 /// One of so many of these is kept back for releases, and so many at least: a release takes a few milliseconds, so
@@ -111,7 +111,7 @@
     /// Bytes of requests' bodies that may be held at once.
     pub body_bytes: usize,
     /// Bytes that long-lived connections may hold at once, where there are any.
-    pub live_bytes: usize,
+    pub websocket_bytes: usize,
     /// The list of servers as last held; may be old.
     pub known: Option<list::Wire>,
     /// The module's settings.
@@ -119,7 +119,7 @@
     /// Names used on the wire.
     pub names: Names,
     /// What is told of connections.
-    pub links: ConnectionSettings,
+    pub connections: ConnectionSettings,
     /// The second front, where it is wanted.
     pub openai: Option<openai::OpenAi>,
     /// The list's source, where it is not discovery.
@@ -171,7 +171,7 @@
             return Err(wrong(format!("limits.memory_mb: {told} is under {least}")));
         }
         let client_sockets = ((sockets - SPARE_SOCKETS) as f64 * CLIENT_PART) as usize;
-        let links = file.settings.connection_settings();
+        let connections = file.settings.connection_settings();
         let (settings, names) = file.settings.into_settings().map_err(|e| wrong(format!("settings: {e}")))?;
         settings.check().map_err(|error| wrong(error.to_string()))?;
         let mut server_sockets = sockets - SPARE_SOCKETS - client_sockets;
@@ -179,11 +179,11 @@
         let told_of = Arguments::read()?;
         let load = |path: &String| websocket::WebSocket::load(path, &names, &settings, server_sockets);
         let websocket = told_of.websocket.as_ref().map(load).transpose()?;
-        let mut live_bytes = 0;
+        let mut websocket_bytes = 0;
         if websocket.is_some() {
-            server_sockets -= websocket::places(server_sockets).0;
-            live_bytes = body_bytes / 2;
-            body_bytes -= live_bytes;
+            server_sockets -= websocket::session_slots(server_sockets).0;
+            websocket_bytes = body_bytes / 2;
+            body_bytes -= websocket_bytes;
         }
         Ok(Config {
             name: told("PROXY_NAME", file.name).unwrap_or_else(|_| "router".to_owned()),
@@ -198,7 +198,7 @@
             server_sockets,
             release_sockets: (server_sockets / RELEASE_PART).max(LEAST_RELEASES),
             body_bytes,
-            live_bytes,
+            websocket_bytes,
             known: file.known,
             openai: told_of.openai.map(|path| openai::OpenAi::load(&path, &names)).transpose()?,
             etcd: told_of.etcd.map(|path| etcd::Etcd::load(&path)).transpose()?,
@@ -207,7 +207,7 @@
             stop_timeout: Duration::from_secs(told_of.stop_timeout),
             settings,
             names,
-            links,
+            connections,
         })
     }
 }
--- a/router/src/config/websocket.rs
+++ b/router/src/config/websocket.rs
@@ -106,29 +106,29 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// A frame's largest size.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// A message's.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// A peer that is silent for so long is asked for a sign.
-    pub ping: Duration,
+    pub ping_after: Duration,
     /// And has gone if none comes in this time.
-    pub pong: Duration,
+    pub pong_timeout: Duration,
     /// A connection without a message for so long is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A server answers an upgrade in this time.
-    pub upgrade: Duration,
+    pub upgrade_timeout: Duration,
 }
 
 /// Which members of a server's messages tell their id, and how many of the client's messages it has dealt with.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fields {
+pub struct ResumeFields {
     /// The id's member.
     pub id: Option<String>,
     /// The member that counts the client's messages that are done.
     pub ack: Option<String>,
 }
 
-impl Fields {
+impl ResumeFields {
     /// Whether messages are looked into.
     pub fn any(&self) -> bool {
         self.id.is_some() || self.ack.is_some()
@@ -151,7 +151,7 @@
     /// Bounds of each connection.
     pub limits: Limits,
     /// How messages tell what resuming needs.
-    pub resume: Fields,
+    pub resume: ResumeFields,
     /// Paths.
     pub routes: Vec<Route>,
     /// Keys and whose they are; with none, any client is let in.
@@ -159,7 +159,7 @@
 }
 
 /// Places that long-lived connections may take of those for servers: half, and of these some are for moves.
-pub fn places(server_sockets: usize) -> (usize, usize) {
+pub fn session_slots(server_sockets: usize) -> (usize, usize) {
     let places = server_sockets / 2;
     (places, places - places / MOVES_PART)
 }
@@ -174,7 +174,7 @@
     ) -> Result<Self, ConfigError> {
         let wrong = |problem: String| ConfigError::Content { path: path.to_owned(), problem };
         let told: File = super::toml_file(path)?;
-        let (_, room) = places(server_sockets);
+        let (_, room) = session_slots(server_sockets);
         let most = told.most.unwrap_or(room);
         let seconds = |name: &str, value: f64| {
             let fits = value > 0.0 && value <= 86_400.0;
@@ -254,14 +254,14 @@
             load_tokens: told.load_tokens,
             rules,
             limits: Limits {
-                frame: told.limits.frame_kib * 1024,
-                message: told.limits.message_kib * 1024,
-                ping: seconds("ping_s", told.limits.ping_s)?,
-                pong: seconds("pong_s", told.limits.pong_s)?,
-                idle: seconds("idle_s", told.limits.idle_s)?,
-                upgrade: Duration::from_millis(told.limits.upgrade_ms),
+                max_frame_bytes: told.limits.frame_kib * 1024,
+                max_message_bytes: told.limits.message_kib * 1024,
+                ping_after: seconds("ping_s", told.limits.ping_s)?,
+                pong_timeout: seconds("pong_s", told.limits.pong_s)?,
+                idle_timeout: seconds("idle_s", told.limits.idle_s)?,
+                upgrade_timeout: Duration::from_millis(told.limits.upgrade_ms),
             },
-            resume: Fields { id: told.resume.id, ack: told.resume.ack },
+            resume: ResumeFields { id: told.resume.id, ack: told.resume.ack },
             routes: told.path.into_iter().map(route).collect::<Result<_, _>>()?,
             keys: told.key.into_iter().map(|key| key.read(names, &wrong)).collect::<Result<_, _>>()?,
         })
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -5,12 +5,12 @@
 mod repeats;
 
 use crate::exchange::{ClientEnd, Exchange, Opening};
-use crate::handover::Bill;
+use crate::handover::BillingDetails;
 use crate::list::{Entry, Update};
 use crate::log;
 use crate::names;
 use crate::servers::Traced;
-use crate::usage::{self, Usage};
+use crate::usage::{self, UsageLedger};
 use fawnstream_attempts::delivery::Delivery;
 use fawnstream_attempts::invariants::{Invariant, Violations};
 use fawnstream_attempts::{Attempts, RepeatPolicy};
@@ -256,7 +256,7 @@
     /// How long the module took for each event.
     decisions: Option<Histogram>,
     /// The usage ledger, where there is one.
-    usage: Option<Rc<Usage>>,
+    usage: Option<Rc<UsageLedger>>,
     /// Rules that were broken.
     violations: Violations,
     born: Instant,
@@ -272,7 +272,7 @@
         names: shedrelay_settings::Names,
         terms: LeaseConfig,
         seed: u64,
-        usage: Option<Rc<Usage>>,
+        usage: Option<Rc<UsageLedger>>,
     ) -> Result<Rc<Self>, SettingsError> {
         let roles = settings.kinds.iter().map(|kind| kind.role).collect();
         let repeats = settings.classes.iter().map(|class| class.effect.repeat()).collect();
@@ -355,12 +355,12 @@
     }
 
     /// What a request is billed by, where a ledger is kept.
-    pub fn bill(&self, call: &crate::exchange::Call) -> Option<Bill> {
-        Some(self.usage.as_ref()?.bill(call, self.tenant_name(call.tenant)))
+    pub fn bill(&self, call: &crate::exchange::Call) -> Option<BillingDetails> {
+        Some(self.usage.as_ref()?.billing_details(call, self.tenant_name(call.tenant)))
     }
 
     /// The usage ledger, where there is one.
-    pub fn usage(&self) -> Option<&Usage> {
+    pub fn usage(&self) -> Option<&UsageLedger> {
         self.usage.as_deref()
     }
 
@@ -617,7 +617,7 @@
             done: Cell::new(false),
         };
         if let Some(usage) = &self.usage {
-            usage.came(id, &exchange.call, self.tenant_name(exchange.call.tenant));
+            usage.request_started(id, &exchange.call, self.tenant_name(exchange.call.tenant));
         }
         self.open.borrow_mut().insert(id, open);
         self.handle(Event::Request(ask));
@@ -650,7 +650,7 @@
         exchange: Rc<Exchange>,
         label: &str,
         address: SocketAddr,
-        bill: Option<Bill>,
+        bill: Option<BillingDetails>,
     ) -> Option<(Order, ClientEnd)> {
         if self.labels.borrow().contains_key(&exchange.call.label) {
             return None;
@@ -684,7 +684,7 @@
             done: Cell::new(false),
         };
         if let (Some(usage), Some(bill)) = (&self.usage, bill) {
-            usage.carried(request, bill);
+            usage.request_received(request, bill);
         }
         self.open.borrow_mut().insert(request, open);
         let end = self.client_again(request, &exchange);
@@ -720,7 +720,7 @@
         self.labels.borrow_mut().remove(&open.exchange.call.label);
         log!("request id={} outcome=handed-over", open.exchange.call.label);
         if let Some(usage) = &self.usage {
-            usage.handed(request);
+            usage.request_handed_over(request);
         }
         let (verdict, settled) = (Verdict::Ok, true);
         let evidence = Evidence::Server;
@@ -920,7 +920,7 @@
                 reported_tokens: tokens,
                 declared_prompt_tokens: call.prompt_len as i64,
             };
-            usage.ended(id, used);
+            usage.request_ended(id, used);
         }
         if let Some(tally) = self.tallies.borrow_mut().get_mut(call.class.0) {
             match outcome {
--- a/router/src/handover.rs
+++ b/router/src/handover.rs
@@ -44,18 +44,18 @@
 /// Bytes, as text.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Text(pub Vec<u8>);
+pub struct Base64Bytes(pub Vec<u8>);
 
-impl From<Text> for String {
-    fn from(text: Text) -> String {
+impl From<Base64Bytes> for String {
+    fn from(text: Base64Bytes) -> String {
         BASE64_STANDARD.encode(text.0)
     }
 }
 
-impl TryFrom<String> for Text {
+impl TryFrom<String> for Base64Bytes {
     type Error = base64::DecodeError;
-    fn try_from(text: String) -> Result<Text, base64::DecodeError> {
-        BASE64_STANDARD.decode(text).map(Text)
+    fn try_from(text: String) -> Result<Base64Bytes, base64::DecodeError> {
+        BASE64_STANDARD.decode(text).map(Base64Bytes)
     }
 }
 
@@ -67,12 +67,12 @@
     /// The last chunk has begun.
     pub trailer: bool,
     /// A part that waits for the rest.
-    pub held: Text,
+    pub held: Base64Bytes,
 }
 
 /// What a request is billed by, where a usage ledger is kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Bill {
+pub struct BillingDetails {
     /// What joins its tries.
     pub ask: u64,
     /// Whose it is.
@@ -85,7 +85,7 @@
 
 /// A stream between two of its chunks, besides its connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Form {
+pub struct StreamState {
     /// The request's id.
     pub label: String,
     /// Its class, by name.
@@ -99,7 +99,7 @@
     /// The server's framing.
     pub framing: Framing,
     /// An event that has not ended.
-    pub event: Text,
+    pub event: Base64Bytes,
     /// The final event has come.
     pub done: bool,
     /// Prompt tokens found kept.
@@ -109,13 +109,13 @@
     pub used: Option<Tokens>,
     /// What it is billed by.
     #[serde(default)]
-    pub bill: Option<Bill>,
+    pub bill: Option<BillingDetails>,
 }
 
 /// A stream that came from another process.
-pub struct Carried {
+pub struct ReceivedStream {
     /// What is known of it.
-    pub form: Form,
+    pub state: StreamState,
     /// Its client's connection.
     pub client: TcpStream,
     /// Its server's connection.
@@ -124,16 +124,16 @@
 
 /// Why a stream stays where it is.
 #[derive(Debug, thiserror::Error)]
-pub enum Stays {
+pub enum HandoverError {
     /// Nothing is handed over here.
     #[error("off")]
-    Off,
+    Disabled,
     /// No other process took the socket.
     #[error("no-successor")]
     NoSuccessor,
     /// The other process does not take it, or made no sense.
     #[error("not-taken")]
-    NotTaken,
+    Declined,
     /// The way there is broken.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -161,7 +161,7 @@
     }
 
     /// Waits until streams go.
-    pub async fn due(&self) {
+    pub async fn started(&self) {
         let _ = self.due.subscribe().wait_for(|due| *due).await;
     }
 
@@ -174,36 +174,43 @@
     }
 
     /// Asks the process that took the socket whether it takes a stream.
-    pub async fn call(&self) -> Result<Call, Stays> {
-        let path = self.path.as_ref().ok_or(Stays::Off)?;
+    pub async fn connect(&self) -> Result<Successor, HandoverError> {
+        let path = self.path.as_ref().ok_or(HandoverError::Disabled)?;
         let mut stream = within(UnixStream::connect(path)).await?;
         let peer = stream.peer_cred()?;
         if peer.pid() == i32::try_from(std::process::id()).ok() {
-            return Err(Stays::NoSuccessor);
+            return Err(HandoverError::NoSuccessor);
         }
         match within(stream.read_u8()).await? {
-            READY => Ok(Call(stream)),
-            _ => Err(Stays::NotTaken),
+            READY => Ok(Successor(stream)),
+            _ => Err(HandoverError::Declined),
         }
     }
 }
 
-async fn within<T>(done: impl Future<Output = io::Result<T>>) -> Result<T, Stays> {
+async fn within<T>(done: impl Future<Output = io::Result<T>>) -> Result<T, HandoverError> {
     match tokio::time::timeout(ANSWER, done).await {
         Ok(done) => Ok(done?),
-        Err(_) => Err(Stays::NotTaken),
+        Err(_) => Err(HandoverError::Declined),
     }
 }
 
 /// A process that is ready to take a stream.
-pub struct Call(UnixStream);
+pub struct Successor(UnixStream);
 
-impl Call {
+impl Successor {
     /// Hands a stream over. After an error it is still the caller's, and the other side has let go of it.
-    pub async fn give(mut self, form: &Form, client: &TcpStream, server: &TcpStream) -> Result<(), Stays> {
+    pub async fn send(
+        mut self,
+        form: &StreamState,
+        client: &TcpStream,
+        server: &TcpStream,
+    ) -> Result<(), HandoverError> {
         let body = serde_json::to_vec(form).map_err(io::Error::from)?;
         let mut message = MAGIC.to_vec();
-        message.extend_from_slice(&u32::try_from(body.len()).map_err(|_| Stays::NotTaken)?.to_be_bytes());
+        message.extend_from_slice(
+            &u32::try_from(body.len()).map_err(|_| HandoverError::Declined)?.to_be_bytes(),
+        );
         message.extend_from_slice(&body);
         let fds = [client.as_fd(), server.as_fd()];
         let first = || {
@@ -215,7 +222,7 @@
         let sent = within(self.0.async_io(Interest::WRITABLE, first)).await?;
         within(self.0.write_all(&message[sent..])).await?;
         if within(self.0.read_u8()).await? != CAN {
-            return Err(Stays::NotTaken);
+            return Err(HandoverError::Declined);
         }
         // One byte into an empty buffer: it is there, or the other side has gone.
         within(self.0.write_u8(GO)).await
@@ -226,7 +233,7 @@
 pub async fn serve(
     listener: UnixListener,
     ready: impl Fn() -> bool + Clone + 'static,
-    take: impl Fn(Carried) -> Option<GoOn> + Clone + 'static,
+    take: impl Fn(ReceivedStream) -> Option<ResumeStream> + Clone + 'static,
 ) {
     let offers = Rc::new(Cell::new(0));
     loop {
@@ -258,7 +265,7 @@
 }
 
 /// Goes on with a stream that was offered.
-type GoOn = Box<dyn FnOnce()>;
+type ResumeStream = Box<dyn FnOnce()>;
 
 /// Whether the other side says, by then, that the stream goes on here. Without that word it is still the other side's, and
 /// nothing here has touched it. When the time is over this side stops reading before it looks once more: a word is either
@@ -278,8 +285,8 @@
 /// Reads an offer and says that its stream can go on here; none if the other side only asked.
 async fn offer(
     stream: &mut UnixStream,
-    take: impl Fn(Carried) -> Option<GoOn>,
-) -> Result<Option<GoOn>, Stays> {
+    take: impl Fn(ReceivedStream) -> Option<ResumeStream>,
+) -> Result<Option<ResumeStream>, HandoverError> {
     stream.write_u8(READY).await?;
     let mut fds = Vec::new();
     let mut message = vec![0; 4096];
@@ -294,17 +301,18 @@
     }
     let length = u32::from_be_bytes([message[8], message[9], message[10], message[11]]) as usize;
     if message[..MAGIC.len()] != MAGIC || length > LARGEST || message.len() > start + length {
-        return Err(Stays::NotTaken);
+        return Err(HandoverError::Declined);
     }
     let came = message.len();
     message.resize(start + length, 0);
     stream.read_exact(&mut message[came..]).await?;
-    let form: Form = serde_json::from_slice(&message[start..]).map_err(io::Error::from)?;
+    let form: StreamState = serde_json::from_slice(&message[start..]).map_err(io::Error::from)?;
     let mut sockets = fds.into_iter().map(tcp);
     let (Some(client), Some(server), None) = (sockets.next(), sockets.next(), sockets.next()) else {
-        return Err(Stays::NotTaken);
+        return Err(HandoverError::Declined);
     };
-    let go = take(Carried { form, client: client?, server: server? }).ok_or(Stays::NotTaken)?;
+    let go =
+        take(ReceivedStream { state: form, client: client?, server: server? }).ok_or(HandoverError::Declined)?;
     stream.write_u8(CAN).await?;
     Ok(Some(go))
 }
@@ -338,11 +346,11 @@
     use super::*;
     use std::cell::RefCell;
 
-    fn form() -> Form {
-        let framing = Framing { missing: Some(3), trailer: false, held: Text(b"5\r\nab".to_vec()) };
+    fn form() -> StreamState {
+        let framing = Framing { missing: Some(3), trailer: false, held: Base64Bytes(b"5\r\nab".to_vec()) };
         let (label, class, server) = ("1".to_owned(), "quick".to_owned(), "w1".to_owned());
-        let (address, event) = ("127.0.0.1:1".parse().unwrap(), Text(b"data: {".to_vec()));
-        Form {
+        let (address, event) = ("127.0.0.1:1".parse().unwrap(), Base64Bytes(b"data: {".to_vec()));
+        StreamState {
             label,
             class,
             server,
@@ -358,7 +366,7 @@
     }
 
     /// What the taking side saw: forms offered, and how many it was told to go on with.
-    type Seen = Rc<RefCell<(Vec<Form>, usize)>>;
+    type Seen = Rc<RefCell<(Vec<StreamState>, usize)>>;
 
     async fn taking(name: &str, room: bool) -> (Rc<Handover>, Seen, PathBuf) {
         let path = std::env::temp_dir().join(format!("fawnstream-{}-{name}", std::process::id()));
@@ -367,8 +375,8 @@
         let handover = Rc::new(Handover { path: Some(path.clone()), due: watch::Sender::new(false) });
         let seen = Seen::default();
         let noted = seen.clone();
-        let take = move |carried: Carried| {
-            noted.borrow_mut().0.push(carried.form);
+        let take = move |carried: ReceivedStream| {
+            noted.borrow_mut().0.push(carried.state);
             let noted = noted.clone();
             let go: Box<dyn FnOnce()> = Box::new(move || noted.borrow_mut().1 += 1);
             Some(go)
@@ -377,10 +385,10 @@
         (handover, seen, path)
     }
 
-    async fn ready(path: &PathBuf) -> Call {
+    async fn ready(path: &PathBuf) -> Successor {
         let mut stream = UnixStream::connect(path).await.unwrap();
         assert_eq!(stream.read_u8().await.unwrap(), READY);
-        Call(stream)
+        Successor(stream)
     }
 
     async fn pair() -> (TcpStream, TcpStream) {
@@ -401,11 +409,11 @@
             let (handover, seen, path) = taking("whole", true).await;
             let ((client, _near), (server, _far)) = (pair().await, pair().await);
             // A process never hands over to itself.
-            assert!(matches!(handover.call().await, Err(Stays::NoSuccessor)));
+            assert!(matches!(handover.connect().await, Err(HandoverError::NoSuccessor)));
             // Large as it may get, and in pieces.
-            let large = Form { event: Text(vec![b'x'; 64 * 1024]), ..form() };
+            let large = StreamState { event: Base64Bytes(vec![b'x'; 64 * 1024]), ..form() };
             for form in [form(), large] {
-                ready(&path).await.give(&form, &client, &server).await.unwrap();
+                ready(&path).await.send(&form, &client, &server).await.unwrap();
                 until(|| seen.borrow().1 == seen.borrow().0.len() && seen.borrow().0.last() == Some(&form))
                     .await;
             }
@@ -479,7 +487,7 @@
             std::fs::remove_file(path).unwrap();
             let off = Handover::new(false);
             assert!(off.listen().is_none());
-            assert!(matches!(off.call().await, Err(Stays::Off)));
+            assert!(matches!(off.connect().await, Err(HandoverError::Disabled)));
         });
     }
 }
--- a/router/src/lifecycle.rs
+++ b/router/src/lifecycle.rs
@@ -53,12 +53,12 @@
     }
 
     /// Clients are taken and asked to stay.
-    pub fn takes_clients(self) -> bool {
+    pub fn accepts_clients(self) -> bool {
         self == Phase::Active
     }
 
     /// Clients are sent away: answers close their connections, and those without a request end.
-    pub fn sends_away(self) -> bool {
+    pub fn is_draining(self) -> bool {
         matches!(self, Phase::Standby | Phase::Stopping)
     }
 
@@ -92,19 +92,19 @@
     }
 
     /// Since when clients are sent away, if they are.
-    pub fn away_since(&self) -> Option<Instant> {
+    pub fn draining_since(&self) -> Option<Instant> {
         let (phase, since) = *self.phase.borrow();
-        phase.sends_away().then_some(since)
+        phase.is_draining().then_some(since)
     }
 
     /// Something happened. False if it makes no sense in this phase.
-    pub fn tell(&self, event: Event) -> bool {
+    pub fn apply(&self, event: Event) -> bool {
         let now = self.phase();
         let Some(next) = now.next(event) else { return false };
         self.phase.send_if_modified(|(phase, since)| {
             let changed = *phase != next;
             // From standby to stopping clients have been sent away already.
-            if changed && !(phase.sends_away() && next.sends_away()) {
+            if changed && !(phase.is_draining() && next.is_draining()) {
                 *since = Instant::now();
             }
             *phase = next;
--- a/router/src/live.rs
+++ b/router/src/live.rs
@@ -158,7 +158,7 @@
             let now = self.now();
             {
                 let mut sessions = self.sessions.borrow_mut();
-                match life.phase().sends_away() {
+                match life.phase().is_draining() {
                     true => sessions.start_drain(now),
                     false => sessions.end_drain(),
                 }
--- a/router/src/live/relay.rs
+++ b/router/src/live/relay.rs
@@ -327,7 +327,7 @@
             self.end = Some(End { code: "client-closed", due: Instant::now() + CLOSING });
         }
         let limits = self.member.told().limits;
-        match self.up.pass(&frame, limits.message, false) {
+        match self.up.pass(&frame, limits.max_message_bytes, false) {
             Ok(Step::Whole(_)) => {
                 self.messages.0 += 1;
                 self.used = Instant::now();
@@ -397,7 +397,7 @@
             return None;
         }
         let told = self.member.told();
-        match self.down.pass(&frame, told.limits.message, told.resume.any()) {
+        match self.down.pass(&frame, told.limits.max_message_bytes, told.resume.any()) {
             Ok(Step::Whole(text)) => {
                 self.messages.1 += 1;
                 self.used = Instant::now();
@@ -454,10 +454,11 @@
     fn next_look(&self) -> Instant {
         let limits = self.member.told().limits;
         let of = |leg: &Leg| {
-            let sign = leg.asked.map_or(leg.heard + limits.ping, |(asked, _)| asked + limits.pong);
+            let sign =
+                leg.asked.map_or(leg.heard + limits.ping_after, |(asked, _)| asked + limits.pong_timeout);
             leg.stuck().map_or(sign, |stuck| sign.min(stuck + TAKES_NOTHING))
         };
-        let mut next = of(&self.client).min(self.used + limits.idle);
+        let mut next = of(&self.client).min(self.used + limits.idle_timeout);
         if let Some(server) = &self.server {
             next = next.min(of(server));
         }
@@ -485,8 +486,8 @@
         match sign(
             &mut self.client,
             now,
-            limits.ping,
-            limits.pong,
+            limits.ping_after,
+            limits.pong_timeout,
             paused && self.end.is_none(),
             &mut self.pings,
         ) {
@@ -502,13 +503,13 @@
         }
         let paused = !self.client.has_room() || self.moving.is_some();
         if let Some(server) = &mut self.server {
-            match sign(server, now, limits.ping, limits.pong, paused, &mut self.pings) {
+            match sign(server, now, limits.ping_after, limits.pong_timeout, paused, &mut self.pings) {
                 Sign::Well => {}
                 Sign::Silent => return self.broke("server-silent"),
                 Sign::Stuck => return self.broke("server-stuck"),
             }
         }
-        if self.used + limits.idle <= now {
+        if self.used + limits.idle_timeout <= now {
             self.finish("idle", 1001, "nothing has passed for long");
         }
         None
--- a/router/src/live/resume.rs
+++ b/router/src/live/resume.rs
@@ -2,7 +2,7 @@
 //! came last, and whether what the client said has been acknowledged. Knows neither sockets nor frames' bytes; takes
 //! no decision but whether a connection may move.
 
-use crate::config::websocket::Fields;
+use crate::config::websocket::ResumeFields;
 use actix_http::ws::{Frame, Item};
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
@@ -139,7 +139,7 @@
     }
 
     /// A whole message of the server passed; none if its content is not known.
-    pub fn heard(&mut self, text: Option<&[u8]>, fields: &Fields) {
+    pub fn heard(&mut self, text: Option<&[u8]>, fields: &ResumeFields) {
         let told = text.and_then(|text| read(text, fields)).unwrap_or_default();
         if let Some(ack) = told.ack {
             self.done = self.done.max(ack.min(self.said));
@@ -165,14 +165,14 @@
 }
 
 /// The members that matter of a JSON object.
-fn read(text: &[u8], fields: &Fields) -> Option<Told> {
+fn read(text: &[u8], fields: &ResumeFields) -> Option<Told> {
     let mut from = serde_json::Deserializer::from_slice(text);
     let told = Wanted(fields).deserialize(&mut from).ok()?;
     from.end().ok()?;
     Some(told)
 }
 
-struct Wanted<'f>(&'f Fields);
+struct Wanted<'f>(&'f ResumeFields);
 
 impl<'de> DeserializeSeed<'de> for Wanted<'_> {
     type Value = Told;
@@ -212,8 +212,8 @@
     use super::*;
     use bytes::Bytes;
 
-    fn fields() -> Fields {
-        Fields { id: Some("id".to_owned()), ack: Some("ack".to_owned()) }
+    fn fields() -> ResumeFields {
+        ResumeFields { id: Some("id".to_owned()), ack: Some("ack".to_owned()) }
     }
 
     /// A character may be cut by fragments, but not by a message's end; other bytes end it at once.
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,20 +2,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use fawnstream::program::{self, Failure};
+use fawnstream::program::{self, RunError};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("fawnstream: {failure}");
+        Err(error) => {
+            eprintln!("fawnstream: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), Failure> {
+fn run() -> Result<(), RunError> {
     // Taken over before anything else is opened.
     let told = std::env::var("PROXY_FD").ok().filter(|fd| !fd.is_empty());
     let inherited = told.map(|fd| fawnstream_inherit::listener(&fd)).transpose()?;
--- a/router/src/operators.rs
+++ b/router/src/operators.rs
@@ -7,7 +7,7 @@
 use crate::clients::Shared;
 use crate::clients::accept_error::AcceptError;
 // Callers at once; their descriptors are kept back. One more ends the one that has said nothing longest.
-use crate::config::MOST_CALLERS;
+use crate::config::MAX_OPERATOR_CONNECTIONS;
 use crate::lifecycle::Event;
 use crate::log;
 use std::collections::VecDeque;
@@ -83,7 +83,7 @@
     }
     let life = &shared.life;
     let told = |event| {
-        if life.tell(event) {
+        if life.apply(event) {
             answer("200 OK", life.phase().name())
         } else {
             answer("409 Conflict", life.phase().name())
@@ -92,7 +92,7 @@
     match path {
         "/standby" => told(Event::Drain),
         "/active" => told(Event::Resume),
-        "/status" if life.phase().takes_clients() => answer("200 OK", life.phase().name()),
+        "/status" if life.phase().accepts_clients() => answer("200 OK", life.phase().name()),
         "/status" => answer("503 Service Unavailable", life.phase().name()),
         _ => Answer {
             status: "200 OK",
@@ -178,7 +178,7 @@
             }
         };
         callers.retain(|caller| !caller.is_closed());
-        if callers.len() >= MOST_CALLERS
+        if callers.len() >= MAX_OPERATOR_CONNECTIONS
             && let Some(longest) = callers.pop_front()
         {
             let _ = longest.send(());
--- a/router/src/operators/figures.rs
+++ b/router/src/operators/figures.rs
@@ -94,7 +94,7 @@
     page.counter("reload_success", "Configurations taken over on SIGHUP.", reloads);
     page.counter("reload_failure", "Configurations turned down on SIGHUP.", failed);
     if let Some(usage) = core.usage() {
-        let state = usage.state();
+        let state = usage.status();
         let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
         let stopped = usize::from(state.stopped.load(Ordering::Relaxed));
         page.counter("ledger_entries", "Entries of use on the disk.", count(&state.entries));
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -24,7 +24,7 @@
 
 /// Why the program ends with a failure.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum RunError {
     /// The configuration cannot be read, or makes no sense.
     #[error(transparent)]
     Config(#[from] config::ConfigError),
@@ -95,8 +95,8 @@
 }
 
 /// Runs one router, on an inherited socket if there is one, until SIGTERM has been followed to its end.
-pub async fn run(inherited: Option<std::net::TcpListener>) -> Result<(), Failure> {
-    let io = |what: String| move |error| Failure::Io { what, error };
+pub async fn run(inherited: Option<std::net::TcpListener>) -> Result<(), RunError> {
+    let io = |what: String| move |error| RunError::Io { what, error };
     // Taken first: a signal that nobody takes ends the program.
     let mut hup = signal(SignalKind::hangup()).map_err(io("SIGHUP".to_owned()))?;
     let mut term = signal(SignalKind::terminate()).map_err(io("SIGTERM".to_owned()))?;
@@ -105,7 +105,7 @@
         Some(told) => {
             let routers = f64::from(config.settings.routers);
             let quotas: Vec<f64> = config.settings.tenants.iter().map(|t| t.quota_per_s / routers).collect();
-            Some(usage::Usage::start(told, &config.name, &config.names, &quotas, inherited.is_some())?)
+            Some(usage::UsageLedger::start(told, &config.name, &config.names, &quotas, inherited.is_some())?)
         }
         None => None,
     };
@@ -115,9 +115,9 @@
         false => fawnstream_fleet::discovery_calls::ListSource::LocalAgent,
     };
     let terms = fawnstream_leases::LeaseConfig {
-        release_within: Duration::from_nanos(config.links.release_within.0),
+        release_within: Duration::from_nanos(config.connections.release_within.0),
         grace: HELD_MORE,
-        close_arrives_within: servers::close_arrives_within(config.links),
+        close_arrives_within: servers::close_arrives_within(config.connections),
         max_concurrent_releases: config.release_sockets,
         seed: config.seed,
     };
@@ -125,12 +125,12 @@
     let inherits = inherited.is_some();
     let handover = handover::Handover::new(inherits);
     let fleet =
-        servers::Fleet::new(core.clone(), config.links, config.server_sockets, terms, handover.clone());
+        servers::Fleet::new(core.clone(), config.connections, config.server_sockets, terms, handover.clone());
     core.connect(fleet.clone());
     // Before the first list: it hears of the servers by its news.
     let websocket = config.websocket.as_ref().map(|told| told.listen);
     let live =
-        config.websocket.map(|told| live::Live::new(core.clone(), told, config.seed, config.live_bytes));
+        config.websocket.map(|told| live::Live::new(core.clone(), told, config.seed, config.websocket_bytes));
     let from = config.known.as_ref().map_or(0, |known| known.revision);
     if let Some(known) = config.known {
         core.listed(known.update(None));
@@ -185,7 +185,7 @@
         let at = |what: &str| io(format!("{what} on {address}"));
         let listener = listen_beside(address, inherits).map_err(at("listening"))?;
         let listen = listener.local_addr().map_err(at("listening"))?;
-        let (follows, connect) = (shared.clone(), Duration::from_nanos(config.links.connect.0));
+        let (follows, connect) = (shared.clone(), Duration::from_nanos(config.connections.connect.0));
         let following = live.clone();
         actix_rt::spawn(async move { following.run(&follows.life).await });
         let of = shared.clone();
@@ -202,7 +202,7 @@
             }
         };
         let _ = actix_rt::time::timeout(STARTING, able).await;
-        ready.life.tell(Event::Ready);
+        ready.life.apply(Event::Ready);
     });
 
     loop {
@@ -212,8 +212,9 @@
         }
     }
     log!("stopping requests={} connections={}", core.busy(), shared.open());
-    shared.life.tell(Event::Stop);
-    let late = config.links.longest_wait.map_or(KILLED, |wait| Duration::from_nanos(wait.0).min(KILLED));
+    shared.life.apply(Event::Stop);
+    let late =
+        config.connections.longest_wait.map_or(KILLED, |wait| Duration::from_nanos(wait.0).min(KILLED));
     actix_rt::spawn(async move {
         actix_rt::time::sleep(late).await;
         handover.begin();
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -10,7 +10,7 @@
 
 use crate::core::{Core, Ended, Order, RepeatLimits, Server};
 use crate::exchange::{Call, ClientEnd, Exchange, Left};
-use crate::handover::{Carried, Form, Framing, Handover, Stays, Text};
+use crate::handover::{Base64Bytes, Framing, Handover, HandoverError, ReceivedStream, StreamState};
 use crate::headers::IDEMPOTENCY_KEY;
 use crate::log;
 use actix_http::error::ParseError;
@@ -98,10 +98,10 @@
     /// makes no sense.
     pub fn carry(
         self: &Rc<Self>,
-        carried: Carried,
+        carried: ReceivedStream,
         clients: impl FnOnce(ClientEnd, TcpStream) + 'static,
     ) -> Option<Box<dyn FnOnce()>> {
-        let Carried { form, client, server } = carried;
+        let ReceivedStream { state: form, client, server } = carried;
         let raw = Raw::new(server, form.framing, self.pool.carried()?)?;
         let tail = Tail::resume(form.event.0, form.done, form.kept, form.used)?;
         let class = self.core.names().classes.iter().position(|class| *class == form.class);
@@ -322,8 +322,9 @@
 
     /// Offers a stream that stands between two chunks. None if it goes on as it is.
     async fn offer(&self, order: &Order, source: &mut Source<'_>, tail: &Tail) -> Option<Relayed> {
-        let kept = |reason: &Stays| log!("handover kept id={} reason={reason}", order.exchange.call.label);
-        let call = match self.handover.call().await {
+        let kept =
+            |reason: &HandoverError| log!("handover kept id={} reason={reason}", order.exchange.call.label);
+        let call = match self.handover.connect().await {
             Ok(call) => call,
             Err(reason) => {
                 kept(&reason);
@@ -333,21 +334,21 @@
         let framing = source.framing()?;
         // The client's side first: it may not be able to, and then nothing has changed.
         let client = order.exchange.surrender().await?;
-        let form = Form {
+        let form = StreamState {
             label: order.exchange.call.label.clone(),
             class: self.core.class_name(order.exchange.call.class).to_owned(),
             server: order.server.label.clone(),
             address: order.server.address,
             age_ms: order.exchange.call.arrived.elapsed().as_millis() as u64,
             framing: framing.clone(),
-            event: Text(tail.held.to_vec()),
+            event: Base64Bytes(tail.held.to_vec()),
             done: tail.done,
             kept: tail.kept,
             used: tail.used,
             bill: self.core.bill(&order.exchange.call),
         };
         let server = source.detach()?;
-        match call.give(&form, &client, &server).await {
+        match call.send(&form, &client, &server).await {
             Ok(()) => Some(Relayed::Handed),
             Err(reason) => {
                 kept(&reason);
@@ -697,7 +698,7 @@
 
 /// Waits until streams are handed over, and then until this one is offered next.
 async fn going(handover: &Handover, next: Instant) {
-    handover.due().await;
+    handover.started().await;
     actix_rt::time::sleep_until(next.into()).await;
 }
 
--- a/router/src/servers/events.rs
+++ b/router/src/servers/events.rs
@@ -97,7 +97,7 @@
                 .ok()
                 .and_then(|mut value: serde_json::Value| value.as_object_mut()?.remove("usage"));
             told.kept = usage.as_ref().and_then(cached);
-            told.used = usage.as_ref().and_then(usage::tokens);
+            told.used = usage.as_ref().and_then(usage::parse_tokens);
         }
     } else if line.first() == Some(&b':') {
         // A comment; a report that cannot be read is none, and its stream a good one.
--- a/router/src/servers/frames.rs
+++ b/router/src/servers/frames.rs
@@ -3,7 +3,7 @@
 //! behind an answer. This guards against all of them: what is handed on are heads and chunks that are whole, of a
 //! sane size and fit, and nothing beyond the answer's end.
 
-use crate::handover::{Framing, Text};
+use crate::handover::{Base64Bytes, Framing};
 
 /// A head is no longer than this, and one chunk neither: a server's events are far smaller.
 const LARGEST_HEAD: usize = 16 * 1024;
@@ -67,7 +67,7 @@
             State::Trailer => (None, true),
             _ => return None,
         };
-        Some(Framing { missing, trailer, held: Text(self.held.clone()) })
+        Some(Framing { missing, trailer, held: Base64Bytes(self.held.clone()) })
     }
 
     /// Goes on where another process stood. None if that makes no sense.
--- a/router/src/servers/upgrade.rs
+++ b/router/src/servers/upgrade.rs
@@ -85,7 +85,7 @@
     let connector = awc::Connector::new().timeout(connect).limit(1);
     let client = awc::Client::builder()
         .connector(connector)
-        .timeout(connect + limits.upgrade)
+        .timeout(connect + limits.upgrade_timeout)
         .max_http_version(awc::http::Version::HTTP_11)
         .disable_redirects()
         .no_default_headers()
@@ -93,7 +93,7 @@
     let mut request = client
         .ws(format!("ws://{}{}", server.address, ask.target))
         .address(server.address)
-        .max_frame_size(limits.frame);
+        .max_frame_size(limits.max_frame_bytes);
     if !ask.protocols.is_empty() {
         request = request.protocols(&ask.protocols);
     }
@@ -110,6 +110,6 @@
         return Err(refused(AttemptOutcome::MayHaveRun, "bad-extension"));
     }
     let parts = framed.into_parts();
-    let leg = Leg::new(Box::new(parts.io), parts.read_buf, limits.frame, false);
+    let leg = Leg::new(Box::new(parts.io), parts.read_buf, limits.max_frame_bytes, false);
     Ok(Upstream { leg, protocol })
 }
--- a/router/src/sse.rs
+++ b/router/src/sse.rs
@@ -5,11 +5,11 @@
 
 /// Cuts pieces of a stream into lines.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineSplitter {
     partial: Vec<u8>,
 }
 
-impl Lines {
+impl LineSplitter {
     /// Hands each line that this piece completes to `hear`, without its end.
     pub fn feed(&mut self, piece: &[u8], mut hear: impl FnMut(&[u8])) {
         for part in piece.split_inclusive(|byte| *byte == b'\n') {
--- a/router/src/usage.rs
+++ b/router/src/usage.rs
@@ -5,7 +5,7 @@
 
 use crate::config::ledger::Ledger;
 use crate::exchange::Call;
-use crate::handover::Bill;
+use crate::handover::BillingDetails;
 use fawnstream_ledger::entry::{Outcome, Record, Tokens};
 use fawnstream_ledger::recorder::{OpenRequest, Recorder, RecorderConfig, RequestUsage};
 use fawnstream_ledger::store::{LogWriter, StoreError};
@@ -64,7 +64,7 @@
 
 /// Figures, and whether the ledger has stopped.
 #[derive(Default)]
-pub struct State {
+pub struct LedgerStatus {
     /// Entries on the disk since the start.
     pub entries: AtomicU64,
     /// Entries that the sink has.
@@ -78,9 +78,9 @@
 }
 
 /// Where the core tells of requests.
-pub struct Usage {
+pub struct UsageLedger {
     told: mpsc::Sender<Told>,
-    state: Arc<State>,
+    state: Arc<LedgerStatus>,
     thread: std::cell::RefCell<Option<std::thread::JoinHandle<()>>>,
 }
 
@@ -96,7 +96,7 @@
         ^ crate::names::hash(&format!("{session:x} {:?}", call.class)).rotate_left(17)
 }
 
-impl Usage {
+impl UsageLedger {
     /// Opens the ledger and starts its thread. `waits`: a process before this one may hold it a while longer.
     pub fn start(
         told: Ledger,
@@ -116,7 +116,7 @@
             quotas: names.tenants.iter().cloned().zip(quotas.iter().copied()).collect::<BTreeMap<_, _>>(),
         };
         let (queue, waiting) = mpsc::channel(MOST_WAITING);
-        let state = Arc::<State>::default();
+        let state = Arc::<LedgerStatus>::default();
         let (begun, begins) = std::sync::mpsc::sync_channel(1);
         let seen = state.clone();
         let thread = std::thread::Builder::new().name("ledger".to_owned()).spawn(move || {
@@ -139,11 +139,11 @@
             actix_rt::System::new().block_on(keeper.run(waiting));
         })?;
         begins.recv().map_err(|_| UsageError::Ended)??;
-        Ok(Rc::new(Usage { told: queue, state, thread: std::cell::RefCell::new(Some(thread)) }))
+        Ok(Rc::new(UsageLedger { told: queue, state, thread: std::cell::RefCell::new(Some(thread)) }))
     }
 
     /// The figures.
-    pub fn state(&self) -> &State {
+    pub fn status(&self) -> &LedgerStatus {
         &self.state
     }
 
@@ -154,15 +154,15 @@
     }
 
     /// A request was taken.
-    pub fn came(&self, request: RequestId, call: &Call, tenant: &str) {
+    pub fn request_started(&self, request: RequestId, call: &Call, tenant: &str) {
         let (tenant, at_ms) = (tenant.to_owned(), now_ms());
         self.tell(Told::Came { request: request.0, ask: ask(call), tenant, at_ms });
     }
 
     /// What a request is billed by, for a process that goes on with its stream.
-    pub fn bill(&self, call: &Call, tenant: &str) -> Bill {
+    pub fn billing_details(&self, call: &Call, tenant: &str) -> BillingDetails {
         let age = call.arrived.elapsed().as_millis() as u64;
-        Bill {
+        BillingDetails {
             ask: ask(call),
             tenant: tenant.to_owned(),
             came_ms: now_ms().saturating_sub(age),
@@ -171,18 +171,18 @@
     }
 
     /// Another process began it, and billed nothing.
-    pub fn carried(&self, request: RequestId, bill: Bill) {
-        let Bill { ask, tenant, came_ms: at_ms, .. } = bill;
+    pub fn request_received(&self, request: RequestId, bill: BillingDetails) {
+        let BillingDetails { ask, tenant, came_ms: at_ms, .. } = bill;
         self.tell(Told::Came { request: request.0, ask, tenant, at_ms });
     }
 
     /// Another process goes on with it.
-    pub fn handed(&self, request: RequestId) {
+    pub fn request_handed_over(&self, request: RequestId) {
         self.tell(Told::Handed { request: request.0 });
     }
 
     /// A request has its final outcome.
-    pub fn ended(&self, request: RequestId, used: RequestUsage) {
+    pub fn request_ended(&self, request: RequestId, used: RequestUsage) {
         self.tell(Told::Ended { request: request.0, used: Box::new(used), at_ms: now_ms() });
     }
 
@@ -241,7 +241,7 @@
     router: String,
     book: Recorder,
     log: LogWriter<Record>,
-    state: Arc<State>,
+    state: Arc<LedgerStatus>,
     /// Requests that have come and not ended; the core ends each.
     open: HashMap<u64, OpenRequest>,
     /// The numbers of entries that are not on the disk, in their order; none for other records.
@@ -253,7 +253,13 @@
 }
 
 impl Keeper {
-    fn new(told: Ledger, router: String, book: Recorder, log: LogWriter<Record>, state: Arc<State>) -> Self {
+    fn new(
+        told: Ledger,
+        router: String,
+        book: Recorder,
+        log: LogWriter<Record>,
+        state: Arc<LedgerStatus>,
+    ) -> Self {
         let (open, unwritten) = Default::default();
         Keeper { told, router, book, log, state, open, unwritten, sync_at: None, retry: FIRST_RETRY }
     }
@@ -398,7 +404,7 @@
 }
 
 /// Tokens as a server's usage event reports them; none that make no sense.
-pub fn tokens(usage: &serde_json::Value) -> Option<Tokens> {
+pub fn parse_tokens(usage: &serde_json::Value) -> Option<Tokens> {
     let count = |path: &str| usage.pointer(path)?.as_u64().and_then(|count| i64::try_from(count).ok());
     let kept = count("/prompt_tokens_details/cached_tokens").unwrap_or(0);
     Some(Tokens { prompt: count("/prompt_tokens")?, kept, written: count("/completion_tokens")? })
--- a/router/src/usage/export.rs
+++ b/router/src/usage/export.rs
@@ -1,7 +1,7 @@
 //! The ledger's export: batches go to a sink one after the other, each until the sink has it. What was written down
 //! before says after a crash which batch may have been sent, and the same one goes again under the same name.
 
-use super::{KIND, State};
+use super::{KIND, LedgerStatus};
 use crate::config::ledger::{Ledger, Sink};
 use awc::http::header::CONTENT_TYPE;
 use fawnstream_ledger::batch::{Batch, ExportProgress, Step};
@@ -38,7 +38,7 @@
     folder: PathBuf,
     sink: Sink,
     router: String,
-    state: Arc<State>,
+    state: Arc<LedgerStatus>,
     progress: ExportProgress,
     steps: LogWriter<Step>,
     /// The ledger, from the first entry that the sink has not got; read as it is needed.
@@ -51,7 +51,12 @@
 
 impl Export {
     /// Goes on where the last start ended.
-    pub fn open(told: &Ledger, sink: Sink, router: &str, state: Arc<State>) -> Result<Self, StoreError> {
+    pub fn open(
+        told: &Ledger,
+        sink: Sink,
+        router: &str,
+        state: Arc<LedgerStatus>,
+    ) -> Result<Self, StoreError> {
         let mut progress = ExportProgress::default();
         let (steps, _) =
             LogWriter::open(&told.folder, PROGRESS, router, SEGMENT, |step| progress.apply(step))?;
--- a/router/tests/lifecycle.rs
+++ b/router/tests/lifecycle.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_drain_at_the_start_is_kept() {
     let drained = Phase::Starting { drained: false }.next(Event::Drain).unwrap();
-    assert!(!drained.takes_clients());
+    assert!(!drained.accepts_clients());
     assert_eq!(drained.next(Event::Ready), Some(Phase::Standby));
     assert_eq!(drained.next(Event::Resume).unwrap().next(Event::Ready), Some(Phase::Active));
 }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -42,7 +42,7 @@
     #[error("interrupted")]
     Interrupted,
     #[error("{0}")]
-    Router(#[from] fawnstream::program::Failure),
+    Router(#[from] fawnstream::program::RunError),
     #[error("{0}")]
     Usage(String),
 }
