--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells the router: `$PROXY_CONFIG`, and the variables that stand beside it.
+//! The router's configuration: the file that `$PROXY_CONFIG` names, environment variables and command line.
 
 pub mod arguments;
 pub mod etcd;
@@ -15,50 +15,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Descriptors kept for the listeners, the list's watch, operators' callers, standard streams and the runtime.
+/// Descriptors reserved for listeners, the watch on the server list, operators' connections, standard streams and the
+/// runtime.
 const SPARE_SOCKETS: usize = 32 + MAX_OPERATOR_CONNECTIONS;
-/// Operators' callers at once.
+/// Limit on concurrent operators' connections.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
-/// Part of the others that clients may hold; the rest is for servers.
-const CLIENT_PART: f64 = 0.55;
-/// One of so many of these is kept back for releases, and so many at least: a release takes a few milliseconds, so
-/// that a handful lets go of thousands a second.
-const RELEASE_PART: usize = 16;
-const LEAST_RELEASES: usize = 2;
-/// With fewer descriptors than this a router cannot work.
-const LEAST_SOCKETS: usize = 80;
+/// Share of the remaining descriptors for client connections; the rest is for server connections.
+const CLIENT_SHARE: f64 = 0.55;
+/// One in this many server connections is reserved for releases. A release takes a few milliseconds, so a handful of
+/// connections can release thousands of leases a second.
+const SERVER_SOCKETS_PER_RELEASE: usize = 16;
+/// Least number of connections reserved for releases.
+const MIN_RELEASE_SOCKETS: usize = 2;
+/// Least number of descriptors with which a router can work.
+const MIN_SOCKETS: usize = 80;
 
-/// Bytes that requests' bodies may hold together for each MB of the memory: a fifth of it. The rest is for
-/// buffers, of which each connection has some 32 KiB when it is busy.
-const BODY_PART: f64 = 1024.0 * 1024.0 / 5.0;
-/// With less memory than this a router cannot work.
-const LEAST_MEMORY_MB: f64 = 16.0;
+/// Bytes of request bodies that may be buffered in total, per MB of `memory_mb`: a fifth of the memory. The rest is
+/// for connection buffers, about 32 KiB for each busy connection.
+const BODY_BYTES_PER_MB: f64 = 1024.0 * 1024.0 / 5.0;
+/// Least memory with which a router can work.
+const MIN_MEMORY_MB: f64 = 16.0;
 
-/// Why the router cannot start.
+/// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Neither the variable nor the file says where things are.
+    /// A required value is neither in the environment nor in the file.
     #[error("{0} is not set")]
     Unset(&'static str),
     /// A file cannot be read.
     #[error("{path}: {error}")]
     File {
-        /// Its path.
+        /// The file's path.
         path: String,
-        /// What went wrong.
+        /// The cause.
         error: std::io::Error,
     },
-    /// An argument that is not known.
+    /// The command line is invalid.
     #[error(
         "usage: fawnstream [--openai FILE] [--etcd FILE] [--ledger FILE] [--websocket FILE] [--stop-timeout SECONDS]: {0}"
     )]
     Usage(String),
-    /// A file is not what it should be.
+    /// The content of a file is invalid.
     #[error("{path}: {problem}")]
     Content {
-        /// Its path.
+        /// The file's path.
         path: String,
-        /// What is wrong.
+        /// What is invalid.
         problem: String,
     },
 }
@@ -90,56 +92,56 @@
     }
 }
 
-/// All that a router is told at its start.
+/// The configuration of one router.
 pub struct Config {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients of the platform's API.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Where operators call, if they may.
+    /// Address for operators, if there is one.
     pub mgmt: Option<SocketAddr>,
-    /// Seed of the module's chance.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Client connections that may be open at once.
+    /// Limit on open client connections.
     pub client_sockets: usize,
-    /// Server connections that may be open at once.
+    /// Limit on open server connections, releases included.
     pub server_sockets: usize,
-    /// Of these, the ones kept back for releases.
+    /// Server connections reserved for releases.
     pub release_sockets: usize,
-    /// Bytes of requests' bodies that may be held at once.
+    /// Limit on buffered bytes of request bodies.
     pub body_bytes: usize,
-    /// Bytes that long-lived connections may hold at once, where there are any.
+    /// Limit on buffered bytes of WebSocket connections; 0 without any.
     pub websocket_bytes: usize,
-    /// The list of servers as last held; may be old.
+    /// The last known list of servers, which may be outdated.
     pub known: Option<list::Wire>,
-    /// The module's settings.
+    /// Settings of the routing logic.
     pub settings: Settings,
-    /// Names used on the wire.
+    /// Names of classes, tenants, kinds and zones on the wire.
     pub names: Names,
-    /// What is told of connections.
+    /// Connection settings.
     pub connections: ConnectionSettings,
-    /// The second front, where it is wanted.
+    /// The OpenAI-style front, if it is on.
     pub openai: Option<openai::OpenAi>,
-    /// The list's source, where it is not discovery.
+    /// etcd as the source of the server list, in place of discovery.
     pub etcd: Option<etcd::Etcd>,
-    /// Long-lived connections, where they are wanted.
+    /// WebSocket connections, if they are on.
     pub websocket: Option<websocket::WebSocket>,
-    /// The usage ledger, where it is wanted.
+    /// The usage ledger, if it is on.
     pub ledger: Option<ledger::Ledger>,
-    /// How long answers under way are waited for after SIGTERM.
+    /// How long a stop waits for open requests after SIGTERM.
     pub stop_timeout: Duration,
 }
 
 impl Config {
-    /// Reads the file that `$PROXY_CONFIG` names; variables of their own outweigh it. With an inherited socket
-    /// (`shared`) another process may run beside this one: each takes half of what both may have.
+    /// Reads the file that `$PROXY_CONFIG` names; environment variables take precedence over it. With an inherited
+    /// socket (`shared`) a second process may run at the same time, so that each uses half of the limits.
     pub fn load(shared: bool) -> Result<Self, ConfigError> {
         Config::read(shared, |name, value| std::env::var(name).ok().or(value))
     }
 
-    /// Reads the file again. Now it outweighs the variables: they still say what held at the start.
+    /// Reads the file again. Now the file takes precedence: the variables still have their values from the start.
     pub fn reload(shared: bool) -> Result<Self, ConfigError> {
         Config::read(shared, |name, value| value.or_else(|| std::env::var(name).ok()))
     }
@@ -151,34 +153,35 @@
         let path = std::env::var("PROXY_CONFIG").map_err(|_| ConfigError::Unset("PROXY_CONFIG"))?;
         let text = std::fs::read_to_string(&path)
             .map_err(|error| ConfigError::File { path: path.clone(), error })?;
-        let wrong = |problem: String| ConfigError::Content { path: path.clone(), problem };
-        let file: File = serde_json::from_str(&text).map_err(|error| wrong(error.to_string()))?;
-        let told =
+        let invalid = |problem: String| ConfigError::Content { path: path.clone(), problem };
+        let file: File = serde_json::from_str(&text).map_err(|error| invalid(error.to_string()))?;
+        let required =
             |name: &'static str, value: Option<String>| choose(name, value).ok_or(ConfigError::Unset(name));
         let address = |name: &'static str, value: Option<String>| {
-            let text = told(name, value)?;
-            text.parse().map_err(|_| wrong(format!("{name}: `{text}` is not address:port")))
+            let text = required(name, value)?;
+            text.parse().map_err(|_| invalid(format!("{name}: `{text}` is not address:port")))
         };
         let processes = if shared { 2 } else { 1 };
         let sockets = file.limits.sockets / processes;
-        if sockets < LEAST_SOCKETS {
-            let (told, least) = (file.limits.sockets, LEAST_SOCKETS * processes);
-            return Err(wrong(format!("limits.sockets: {told} is under {least}")));
+        if sockets < MIN_SOCKETS {
+            let (given, min) = (file.limits.sockets, MIN_SOCKETS * processes);
+            return Err(invalid(format!("limits.sockets must be at least {min}, not {given}")));
         }
         let memory_mb = file.limits.memory_mb / processes as f64;
-        if memory_mb < LEAST_MEMORY_MB {
-            let (told, least) = (file.limits.memory_mb, LEAST_MEMORY_MB * processes as f64);
-            return Err(wrong(format!("limits.memory_mb: {told} is under {least}")));
+        if memory_mb < MIN_MEMORY_MB {
+            let (given, min) = (file.limits.memory_mb, MIN_MEMORY_MB * processes as f64);
+            return Err(invalid(format!("limits.memory_mb must be at least {min}, not {given}")));
         }
-        let client_sockets = ((sockets - SPARE_SOCKETS) as f64 * CLIENT_PART) as usize;
+        let client_sockets = ((sockets - SPARE_SOCKETS) as f64 * CLIENT_SHARE) as usize;
         let connections = file.settings.connection_settings();
-        let (settings, names) = file.settings.into_settings().map_err(|e| wrong(format!("settings: {e}")))?;
-        settings.check().map_err(|error| wrong(error.to_string()))?;
+        let (settings, names) =
+            file.settings.into_settings().map_err(|e| invalid(format!("settings: {e}")))?;
+        settings.check().map_err(|error| invalid(error.to_string()))?;
         let mut server_sockets = sockets - SPARE_SOCKETS - client_sockets;
-        let mut body_bytes = (memory_mb * BODY_PART) as usize;
-        let told_of = Arguments::read()?;
+        let mut body_bytes = (memory_mb * BODY_BYTES_PER_MB) as usize;
+        let arguments = Arguments::read()?;
         let load = |path: &String| websocket::WebSocket::load(path, &names, &settings, server_sockets);
-        let websocket = told_of.websocket.as_ref().map(load).transpose()?;
+        let websocket = arguments.websocket.as_ref().map(load).transpose()?;
         let mut websocket_bytes = 0;
         if websocket.is_some() {
             server_sockets -= websocket::session_slots(server_sockets).0;
@@ -186,25 +189,25 @@
             body_bytes -= websocket_bytes;
         }
         Ok(Config {
-            name: told("PROXY_NAME", file.name).unwrap_or_else(|_| "router".to_owned()),
+            name: required("PROXY_NAME", file.name).unwrap_or_else(|_| "router".to_owned()),
             listen: address("PROXY_LISTEN", file.listen)?,
             discovery: address("PROXY_DISCOVERY", file.discovery)?,
             mgmt: match choose("PROXY_MGMT", file.mgmt) {
-                Some(told) => Some(address("PROXY_MGMT", Some(told))?),
+                Some(text) => Some(address("PROXY_MGMT", Some(text))?),
                 None => None,
             },
             seed: seed(&file.seed),
             client_sockets,
             server_sockets,
-            release_sockets: (server_sockets / RELEASE_PART).max(LEAST_RELEASES),
+            release_sockets: (server_sockets / SERVER_SOCKETS_PER_RELEASE).max(MIN_RELEASE_SOCKETS),
             body_bytes,
             websocket_bytes,
             known: file.known,
-            openai: told_of.openai.map(|path| openai::OpenAi::load(&path, &names)).transpose()?,
-            etcd: told_of.etcd.map(|path| etcd::Etcd::load(&path)).transpose()?,
-            ledger: told_of.ledger.map(|path| ledger::Ledger::load(&path)).transpose()?,
+            openai: arguments.openai.map(|path| openai::OpenAi::load(&path, &names)).transpose()?,
+            etcd: arguments.etcd.map(|path| etcd::Etcd::load(&path)).transpose()?,
+            ledger: arguments.ledger.map(|path| ledger::Ledger::load(&path)).transpose()?,
             websocket,
-            stop_timeout: Duration::from_secs(told_of.stop_timeout),
+            stop_timeout: Duration::from_secs(arguments.stop_timeout),
             settings,
             names,
             connections,
@@ -212,7 +215,7 @@
     }
 }
 
-/// A file of ours, as TOML.
+/// Reads one of the router's TOML files.
 fn toml_file<T: serde::de::DeserializeOwned>(path: &str) -> Result<T, ConfigError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| ConfigError::File { path: path.to_owned(), error })?;
@@ -220,7 +223,7 @@
         .map_err(|error| ConfigError::Content { path: path.to_owned(), problem: error.message().to_owned() })
 }
 
-/// A seed is 16 hex digits; anything else still gives some number.
+/// Parses a seed of 16 hex digits; other text is hashed.
 fn seed(value: &serde_json::Value) -> u64 {
     match value {
         serde_json::Value::String(text) => u64::from_str_radix(text, 16).unwrap_or_else(|_| hash(text)),
--- a/router/src/config/etcd.rs
+++ b/router/src/config/etcd.rs
@@ -1,29 +1,29 @@
-//! The file that makes etcd the source of the list.
+//! Settings for etcd as the source of the server list.
 
 use super::ConfigError;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Where etcd answers, and under which keys the servers stand.
+/// Where to find the server list in etcd.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Etcd {
-    /// Its JSON gateway.
+    /// Address of etcd's JSON gateway.
     pub endpoint: SocketAddr,
-    /// What comes before a server's id in its key.
+    /// Prefix of the servers' keys; the rest of a key is the server's id.
     pub prefix: String,
 }
 
 impl Etcd {
     /// Reads the file.
     pub fn load(path: &str) -> Result<Self, ConfigError> {
-        let told: Etcd = super::toml_file(path)?;
-        if told.prefix.is_empty() {
+        let etcd: Etcd = super::toml_file(path)?;
+        if etcd.prefix.is_empty() {
             return Err(ConfigError::Content {
                 path: path.to_owned(),
                 problem: "prefix is empty".to_owned(),
             });
         }
-        Ok(told)
+        Ok(etcd)
     }
 }
--- a/router/src/config/ledger.rs
+++ b/router/src/config/ledger.rs
@@ -1,4 +1,4 @@
-//! The file that switches the usage ledger on.
+//! Settings of the usage ledger.
 
 use super::ConfigError;
 use serde::Deserialize;
@@ -18,45 +18,45 @@
     sink: Option<Sink>,
 }
 
-/// Where entries go.
+/// The HTTP sink to which entries are exported.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sink {
-    /// The sink.
+    /// The sink's address.
     pub address: SocketAddr,
-    /// Where it takes batches.
+    /// Path to which batches are posted.
     pub path: String,
 }
 
-/// The ledger's settings.
+/// Settings of the usage ledger.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    /// Where its files are.
+    /// Folder of the ledger's files.
     pub folder: PathBuf,
-    /// A period's length.
+    /// Length of a billing period.
     pub period_ms: u64,
-    /// How long after its end a period closes.
+    /// Time between a period's end and its closing.
     pub grace_ms: u64,
-    /// A repeat within this time is a try of the same request.
+    /// A repeat within this time belongs to the same request.
     pub join_ms: u64,
-    /// What was written is on the disk after this time.
+    /// Longest time from a write to its sync to disk.
     pub sync: Duration,
-    /// A file's size.
+    /// Size in bytes at which a new file is begun.
     pub segment: u64,
-    /// Where entries go.
+    /// Where entries are exported, if anywhere.
     pub sink: Option<Sink>,
 }
 
 impl Ledger {
-    /// Reads the file and checks that its figures fit each other.
+    /// Reads and validates the file.
     pub fn load(path: &str) -> Result<Self, ConfigError> {
-        let told: File = super::toml_file(path)?;
+        let file: File = super::toml_file(path)?;
         let problem = match () {
-            () if told.period_s == 0 => Some("period_s must be at least 1"),
-            () if told.grace_s < told.join_s => Some("grace_s must not be under join_s"),
-            () if told.sync_ms == 0 || told.sync_ms > 60_000 => Some("sync_ms must be 1 to 60000"),
-            () if told.segment_mb == 0 || told.segment_mb > 4_096 => Some("segment_mb must be 1 to 4096"),
-            () if told.sink.as_ref().is_some_and(|sink| !sink.path.starts_with('/')) => {
+            () if file.period_s == 0 => Some("period_s must be at least 1"),
+            () if file.grace_s < file.join_s => Some("grace_s must not be under join_s"),
+            () if file.sync_ms == 0 || file.sync_ms > 60_000 => Some("sync_ms must be 1 to 60000"),
+            () if file.segment_mb == 0 || file.segment_mb > 4_096 => Some("segment_mb must be 1 to 4096"),
+            () if file.sink.as_ref().is_some_and(|sink| !sink.path.starts_with('/')) => {
                 Some("sink.path must begin with /")
             }
             () => None,
@@ -66,13 +66,13 @@
         }
         let ms = |seconds: u64| seconds.saturating_mul(1_000);
         Ok(Ledger {
-            folder: told.folder,
-            period_ms: ms(told.period_s),
-            grace_ms: ms(told.grace_s),
-            join_ms: ms(told.join_s),
-            sync: Duration::from_millis(told.sync_ms),
-            segment: told.segment_mb.saturating_mul(1024 * 1024),
-            sink: told.sink,
+            folder: file.folder,
+            period_ms: ms(file.period_s),
+            grace_ms: ms(file.grace_s),
+            join_ms: ms(file.join_s),
+            sync: Duration::from_millis(file.sync_ms),
+            segment: file.segment_mb.saturating_mul(1024 * 1024),
+            sink: file.sink,
         })
     }
 }
--- a/router/src/config/openai.rs
+++ b/router/src/config/openai.rs
@@ -1,4 +1,4 @@
-//! The file that switches the OpenAI-style front on: where it listens, and what its API cannot say.
+//! Settings of the OpenAI-style API: its address, models and keys.
 
 use super::ConfigError;
 use serde::Deserialize;
@@ -27,7 +27,7 @@
     max_tokens: u32,
 }
 
-/// A key as files name it.
+/// An API key in a settings file: the environment variable that contains it, and its tenant.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FileKey {
@@ -36,65 +36,68 @@
 }
 
 impl FileKey {
-    /// The key, from the environment, and whose it is.
+    /// Reads the key from the environment and looks its tenant up.
     pub fn read(
         self,
         names: &Names,
-        wrong: &impl Fn(String) -> ConfigError,
+        invalid: &impl Fn(String) -> ConfigError,
     ) -> Result<(String, TenantId), ConfigError> {
-        let told = std::env::var(&self.env).ok().filter(|told| !told.is_empty());
-        let key = told.ok_or_else(|| wrong(format!("{} is not set", self.env)))?;
-        Ok((key, tenant(names, &self.tenant, wrong)?))
+        let value = std::env::var(&self.env).ok().filter(|value| !value.is_empty());
+        let key = value.ok_or_else(|| invalid(format!("environment variable {} is not set", self.env)))?;
+        Ok((key, tenant(names, &self.tenant, invalid)?))
     }
 }
 
-/// A customer by its name.
+/// Looks a tenant up by name.
 fn tenant(
     names: &Names,
     name: &str,
-    wrong: &impl Fn(String) -> ConfigError,
+    invalid: &impl Fn(String) -> ConfigError,
 ) -> Result<TenantId, ConfigError> {
-    let place = names.tenants.iter().position(|known| known == name);
-    place.map(TenantId).ok_or_else(|| wrong(format!("tenant `{name}` is not in the settings")))
+    let index = names.tenants.iter().position(|known| known == name);
+    index.map(TenantId).ok_or_else(|| invalid(format!("tenant `{name}` is not in the settings")))
 }
 
-/// What a model's name stands for.
+/// A model of the API.
 pub struct Model {
-    /// The name that clients use.
+    /// The name in requests.
     pub name: String,
-    /// Its class.
+    /// The class of its requests.
     pub class: ClassId,
-    /// The customer, where no key tells.
+    /// The tenant of requests without a key.
     pub tenant: Option<TenantId>,
-    /// How long a client waits for the first token.
+    /// How long clients wait for the first token.
     pub deadline: Duration,
-    /// Most tokens of an answer, where the client tells none.
+    /// Limit on an answer's tokens for requests that state none.
     pub max_tokens: u32,
 }
 
-/// The second front's settings.
+/// Settings of the OpenAI-style API.
 pub struct OpenAi {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Models.
+    /// The models; at least one.
     pub models: Vec<Model>,
-    /// Keys and whose they are; with none, any client is served.
+    /// Keys with their tenants. If there are none, clients need no key.
     pub keys: Vec<(String, TenantId)>,
 }
 
 impl OpenAi {
-    /// Reads the file; the names in it are those of the settings.
+    /// Reads and validates the file. Its classes and tenants are looked up in `names`.
     pub fn load(path: &str, names: &Names) -> Result<Self, ConfigError> {
-        let wrong = |problem: String| ConfigError::Content { path: path.to_owned(), problem };
+        let invalid = |problem: String| ConfigError::Content { path: path.to_owned(), problem };
         let file: File = super::toml_file(path)?;
         let model = |model: FileModel| {
-            let place = names.classes.iter().position(|known| *known == model.class);
+            let index = names.classes.iter().position(|known| *known == model.class);
             let class =
-                place.ok_or_else(|| wrong(format!("class `{}` is not in the settings", model.class)))?;
+                index.ok_or_else(|| invalid(format!("class `{}` is not in the settings", model.class)))?;
             if !(model.deadline_s > 0.0 && model.deadline_s <= 3_600.0) || model.max_tokens == 0 {
-                return Err(wrong(format!("model `{}`: deadline_s or max_tokens is wrong", model.name)));
+                return Err(invalid(format!(
+                    "model `{}`: deadline_s must be above 0 and at most 3600, and max_tokens at least 1",
+                    model.name
+                )));
             }
-            let tenant = model.tenant.as_deref().map(|name| tenant(names, name, &wrong)).transpose()?;
+            let tenant = model.tenant.as_deref().map(|name| tenant(names, name, &invalid)).transpose()?;
             Ok(Model {
                 name: model.name,
                 class: ClassId(class),
@@ -105,9 +108,9 @@
         };
         let models = file.model.into_iter().map(model).collect::<Result<Vec<_>, _>>()?;
         if models.is_empty() {
-            return Err(wrong("no model".to_owned()));
+            return Err(invalid("no [[model]] is defined".to_owned()));
         }
-        let keys = file.key.into_iter().map(|key| key.read(names, &wrong)).collect::<Result<_, _>>()?;
+        let keys = file.key.into_iter().map(|key| key.read(names, &invalid)).collect::<Result<_, _>>()?;
         Ok(OpenAi { listen: file.listen, models, keys })
     }
 }
--- a/router/src/config/websocket.rs
+++ b/router/src/config/websocket.rs
@@ -1,5 +1,5 @@
-//! The file that switches long-lived WebSocket connections on: where they come in, which servers take them, and what
-//! bounds them.
+//! Settings of long-lived WebSocket connections: address, paths, servers and limits. "Session" means one client's
+//! connection, which may move from server to server.
 
 use super::ConfigError;
 use fawnstream_sessions::{Rules, SlowStart};
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A drained router closes its connections over this time, so that the last one hears well before 2 s have passed.
-const AWAY_OVER_MS: u64 = 1_500;
-/// A new connection waits no longer for a server's turn: nothing is held over 500 ms without an attempt.
-const LONGEST_ASK_MS: u64 = 400;
-/// Of the places one in so many is for moves, which have two servers' connections for a moment.
-const MOVES_PART: usize = 8;
+/// A draining router spreads the closing of its connections over this time: the last one closes well within 2 s.
+const DRAIN_DURATION_MS: u64 = 1_500;
+/// Longest wait of a new connection in the queue for a server. Nothing may be held for over 500 ms without an attempt.
+const MAX_QUEUE_WAIT_MS: u64 = 400;
+/// One in this many slots is reserved for moves, which need connections to two servers for a moment.
+const SLOTS_PER_MOVE_SLOT: usize = 8;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -91,179 +91,183 @@
     class: String,
 }
 
-/// What a path stands for.
+/// A path that clients may connect to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The path, whole.
+    /// The complete path.
     pub path: String,
-    /// Its class.
+    /// The class of its sessions.
     pub class: ClassId,
-    /// An upgrade that may have run may be made again.
+    /// An upgrade that may have reached its server may be retried.
     pub safe: bool,
 }
 
-/// Bounds of each connection.
+/// Limits of each connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// A frame's largest size.
+    /// Largest size of a frame.
     pub max_frame_bytes: usize,
-    /// A message's.
+    /// Largest size of a message.
     pub max_message_bytes: usize,
-    /// A peer that is silent for so long is asked for a sign.
+    /// A peer that is silent for this long is sent a ping.
     pub ping_after: Duration,
-    /// And has gone if none comes in this time.
+    /// A peer that does not answer a ping in this time is considered dead.
     pub pong_timeout: Duration,
-    /// A connection without a message for so long is closed.
+    /// A connection without messages for this long is closed.
     pub idle_timeout: Duration,
-    /// A server answers an upgrade in this time.
+    /// Timeout of a server's answer to an upgrade.
     pub upgrade_timeout: Duration,
 }
 
-/// Which members of a server's messages tell their id, and how many of the client's messages it has dealt with.
+/// JSON members of a server's messages that are needed to resume a session at another server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResumeFields {
-    /// The id's member.
+    /// The member with the message's id.
     pub id: Option<String>,
-    /// The member that counts the client's messages that are done.
+    /// The member with the number of client messages that the server has processed.
     pub ack: Option<String>,
 }
 
 impl ResumeFields {
-    /// Whether messages are looked into.
+    /// Whether messages have to be parsed.
     pub fn any(&self) -> bool {
         self.id.is_some() || self.ack.is_some()
     }
 }
 
-/// The settings of long-lived connections.
+/// Settings of WebSocket connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WebSocket {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Kinds of machines that take them.
+    /// Kinds of servers that take sessions.
     pub kinds: Vec<KindId>,
-    /// Origins that may; with none all may.
+    /// Allowed origins, in lower case. If there are none, all are allowed.
     pub origins: Vec<String>,
-    /// What one weighs at its server, in tokens of its memory.
+    /// Load of one session on its server, in tokens of the server's memory.
     pub load_tokens: f64,
-    /// What the decisions go by.
+    /// Rules for admission and moves.
     pub rules: Rules,
-    /// Bounds of each connection.
+    /// Limits of each connection.
     pub limits: Limits,
-    /// How messages tell what resuming needs.
+    /// JSON members needed to resume a session.
     pub resume: ResumeFields,
-    /// Paths.
+    /// Paths that clients may connect to.
     pub routes: Vec<Route>,
-    /// Keys and whose they are; with none, any client is let in.
+    /// Keys with their tenants. If there are none, clients need no key.
     pub keys: Vec<(String, TenantId)>,
 }
 
-/// Places that long-lived connections may take of those for servers: half, and of these some are for moves.
+/// Server connections available to sessions (half of all), and how many of these are not reserved for moves.
 pub fn session_slots(server_sockets: usize) -> (usize, usize) {
-    let places = server_sockets / 2;
-    (places, places - places / MOVES_PART)
+    let slots = server_sockets / 2;
+    (slots, slots - slots / SLOTS_PER_MOVE_SLOT)
 }
 
 impl WebSocket {
-    /// Reads the file and checks that it fits the settings and the limits.
+    /// Reads the file and validates it against the settings and the socket limit.
     pub fn load(
         path: &str,
         names: &Names,
         settings: &Settings,
         server_sockets: usize,
     ) -> Result<Self, ConfigError> {
-        let wrong = |problem: String| ConfigError::Content { path: path.to_owned(), problem };
-        let told: File = super::toml_file(path)?;
-        let (_, room) = session_slots(server_sockets);
-        let most = told.most.unwrap_or(room);
+        let invalid = |problem: String| ConfigError::Content { path: path.to_owned(), problem };
+        let file: File = super::toml_file(path)?;
+        let (_, slots) = session_slots(server_sockets);
+        let max_sessions = file.most.unwrap_or(slots);
         let seconds = |name: &str, value: f64| {
-            let fits = value > 0.0 && value <= 86_400.0;
-            fits.then(|| Duration::from_secs_f64(value))
-                .ok_or_else(|| wrong(format!("limits.{name} must be above 0 and at most 86400")))
+            let in_range = value > 0.0 && value <= 86_400.0;
+            in_range
+                .then(|| Duration::from_secs_f64(value))
+                .ok_or_else(|| invalid(format!("limits.{name} must be above 0 and at most 86400")))
         };
         let problem = match () {
-            () if told.kinds.is_empty() => Some("kinds is empty".to_owned()),
-            () if told.path.is_empty() => Some("no path".to_owned()),
-            () if most == 0 || most > room => Some(format!("most must be 1 to {room}, by limits.sockets")),
-            () if told.most_at_server == 0 => Some("most_at_server must be at least 1".to_owned()),
-            () if told.most_of_tenant == Some(0) => Some("most_of_tenant must be at least 1".to_owned()),
-            () if !(told.load_tokens >= 0.0 && told.load_tokens <= 1e9) => {
+            () if file.kinds.is_empty() => Some("kinds is empty".to_owned()),
+            () if file.path.is_empty() => Some("no [[path]] is defined".to_owned()),
+            () if max_sessions == 0 || max_sessions > slots => {
+                Some(format!("most must be 1 to {slots}, the limit that follows from limits.sockets"))
+            }
+            () if file.most_at_server == 0 => Some("most_at_server must be at least 1".to_owned()),
+            () if file.most_of_tenant == Some(0) => Some("most_of_tenant must be at least 1".to_owned()),
+            () if !(file.load_tokens >= 0.0 && file.load_tokens <= 1e9) => {
                 Some("load_tokens must be 0 to 1e9".to_owned())
             }
-            () if !(told.new_per_s > 0.0 && told.new_per_s <= 1e6) => {
+            () if !(file.new_per_s > 0.0 && file.new_per_s <= 1e6) => {
                 Some("new_per_s must be above 0 and at most 1e6".to_owned())
             }
-            () if !(1..=60_000).contains(&told.moving.longest_wait_ms) => {
+            () if !(1..=60_000).contains(&file.moving.longest_wait_ms) => {
                 Some("moving.longest_wait_ms must be 1 to 60000".to_owned())
             }
-            () if !(1..=1_024).contains(&told.limits.frame_kib) => {
+            () if !(1..=1_024).contains(&file.limits.frame_kib) => {
                 Some("limits.frame_kib must be 1 to 1024".to_owned())
             }
-            () if !(told.limits.frame_kib..=16_384).contains(&told.limits.message_kib) => {
+            () if !(file.limits.frame_kib..=16_384).contains(&file.limits.message_kib) => {
                 Some("limits.message_kib must be frame_kib to 16384".to_owned())
             }
-            () if !(1..=10_000).contains(&told.limits.upgrade_ms) => {
+            () if !(1..=10_000).contains(&file.limits.upgrade_ms) => {
                 Some("limits.upgrade_ms must be 1 to 10000".to_owned())
             }
             () => None,
         };
         if let Some(problem) = problem {
-            return Err(wrong(problem));
+            return Err(invalid(problem));
         }
         let kind = |name: &String| {
-            let place = names.kinds.iter().position(|known| known == name);
-            let place = place.ok_or_else(|| wrong(format!("kind `{name}` is not in the settings")))?;
-            if settings.kinds.get(place).is_none_or(|kind| kind.role == Role::Reader) {
-                return Err(wrong(format!("kind `{name}` only reads: it cannot take connections")));
+            let index = names.kinds.iter().position(|known| known == name);
+            let index = index.ok_or_else(|| invalid(format!("kind `{name}` is not in the settings")))?;
+            if settings.kinds.get(index).is_none_or(|kind| kind.role == Role::Reader) {
+                return Err(invalid(format!("kind `{name}` only reads: it cannot take connections")));
             }
-            Ok(KindId(place))
+            Ok(KindId(index))
         };
-        let route = |told: FilePath| {
-            let place = names.classes.iter().position(|known| *known == told.class);
-            let place =
-                place.ok_or_else(|| wrong(format!("class `{}` is not in the settings", told.class)))?;
-            if !told.path.starts_with('/') || told.path.contains(['?', '#', ' ']) {
-                return Err(wrong(format!("path `{}` must begin with / and be a path alone", told.path)));
+        let route = |entry: FilePath| {
+            let index = names.classes.iter().position(|known| *known == entry.class);
+            let index =
+                index.ok_or_else(|| invalid(format!("class `{}` is not in the settings", entry.class)))?;
+            if !entry.path.starts_with('/') || entry.path.contains(['?', '#', ' ']) {
+                let rule = "must begin with / and contain no query, fragment or space";
+                return Err(invalid(format!("path `{}` {rule}", entry.path)));
             }
-            let safe = settings.classes.get(place).is_some_and(|class| class.effect == Effect::Safe);
-            Ok(Route { path: told.path, class: ClassId(place), safe })
+            let safe = settings.classes.get(index).is_some_and(|class| class.effect == Effect::Safe);
+            Ok(Route { path: entry.path, class: ClassId(index), safe })
         };
         let routers = settings.routers.max(1) as usize;
         let rules = Rules {
             routers: settings.routers,
-            max_sessions: most,
-            max_per_server: told.most_at_server.div_ceil(routers),
-            max_per_tenant: told.most_of_tenant.unwrap_or(most),
-            max_waiting_moves: told.moving.most_waiting,
-            max_move_wait: told.moving.longest_wait_ms,
-            // As many as all turns of a second could serve; the wait bounds them further.
-            max_queued: most.min(1_024),
-            max_queue_wait: LONGEST_ASK_MS,
+            max_sessions,
+            max_per_server: file.most_at_server.div_ceil(routers),
+            max_per_tenant: file.most_of_tenant.unwrap_or(max_sessions),
+            max_waiting_moves: file.moving.most_waiting,
+            max_move_wait: file.moving.longest_wait_ms,
+            // As many as the turns of all servers in a second could serve; the longest wait limits the queue further.
+            max_queued: max_sessions.min(1_024),
+            max_queue_wait: MAX_QUEUE_WAIT_MS,
             max_attempts: settings.max_attempts.clamp(1, 3),
-            drain_duration: AWAY_OVER_MS,
-            warm_opens_per_s: told.new_per_s,
+            drain_duration: DRAIN_DURATION_MS,
+            warm_opens_per_s: file.new_per_s,
             slow_start: SlowStart {
                 cold_share: settings.rules.cold_share,
                 warm_up: settings.rules.cold.0 / 1_000_000,
             },
         };
         Ok(WebSocket {
-            listen: told.listen,
-            kinds: told.kinds.iter().map(kind).collect::<Result<_, _>>()?,
-            origins: told.origins.iter().map(|origin| origin.to_ascii_lowercase()).collect(),
-            load_tokens: told.load_tokens,
+            listen: file.listen,
+            kinds: file.kinds.iter().map(kind).collect::<Result<_, _>>()?,
+            origins: file.origins.iter().map(|origin| origin.to_ascii_lowercase()).collect(),
+            load_tokens: file.load_tokens,
             rules,
             limits: Limits {
-                max_frame_bytes: told.limits.frame_kib * 1024,
-                max_message_bytes: told.limits.message_kib * 1024,
-                ping_after: seconds("ping_s", told.limits.ping_s)?,
-                pong_timeout: seconds("pong_s", told.limits.pong_s)?,
-                idle_timeout: seconds("idle_s", told.limits.idle_s)?,
-                upgrade_timeout: Duration::from_millis(told.limits.upgrade_ms),
+                max_frame_bytes: file.limits.frame_kib * 1024,
+                max_message_bytes: file.limits.message_kib * 1024,
+                ping_after: seconds("ping_s", file.limits.ping_s)?,
+                pong_timeout: seconds("pong_s", file.limits.pong_s)?,
+                idle_timeout: seconds("idle_s", file.limits.idle_s)?,
+                upgrade_timeout: Duration::from_millis(file.limits.upgrade_ms),
             },
-            resume: ResumeFields { id: told.resume.id, ack: told.resume.ack },
-            routes: told.path.into_iter().map(route).collect::<Result<_, _>>()?,
-            keys: told.key.into_iter().map(|key| key.read(names, &wrong)).collect::<Result<_, _>>()?,
+            resume: ResumeFields { id: file.resume.id, ack: file.resume.ack },
+            routes: file.path.into_iter().map(route).collect::<Result<_, _>>()?,
+            keys: file.key.into_iter().map(|key| key.read(names, &invalid)).collect::<Result<_, _>>()?,
         })
     }
 }
