--- a/router/src/handover.rs
+++ b/router/src/handover.rs
@@ -1,7 +1,8 @@
-//! Handing a stream over to the process that took the clients' socket, shortly before this one is killed: its two
-//! connections as descriptors over a Unix socket in `$TMPDIR`, with the little state that a stream has. What comes
-//! from there is never trusted: it is read within bounds and checked whole, and a stream belongs to who offers it
-//! until the other side has said that it can go on with it.
+//! Hand-over of open streams to the process that took the clients' socket, shortly before this process is killed.
+//!
+//! A stream's two connections are passed as descriptors over a Unix socket in `$TMPDIR`, together with the stream's
+//! state. What arrives there is not trusted: it is read within bounds and validated as a whole. The sender owns a
+//! stream until the successor has accepted it and the sender has committed the transfer.
 
 use crate::log;
 use base64::prelude::{BASE64_STANDARD, Engine as _};
@@ -24,31 +25,33 @@
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::sync::watch;
 
-/// The name in `$TMPDIR`. The process that started last binds it anew.
-const NAME: &str = "fawnstream.handover";
-/// What a message begins with; the number is the form's version.
+/// Name of the socket in `$TMPDIR`. The process started last replaces it with its own.
+const SOCKET_NAME: &str = "fawnstream.handover";
+/// First bytes of a message; the number is the format's version.
 const MAGIC: [u8; 8] = *b"fawnHO01";
-/// A message is no longer than this: a chunk and an event, each of 64 KiB at most, in base64.
-const LARGEST: usize = 512 * 1024;
-/// The other side answers in this time, or the stream stays where it is.
-const ANSWER: Duration = Duration::from_millis(200);
-/// An offer is there whole, and its word to go on, in this time; its stream stands still meanwhile.
-const OFFER: Duration = Duration::from_millis(500);
-/// Offers looked at at once.
-const MOST_OFFERS: usize = 64;
-/// Both sides say one letter at a time.
+/// Largest size of a stream's state: a chunk and an event, each of at most 64 KiB, in base64.
+const MAX_STATE_BYTES: usize = 512 * 1024;
+/// Timeout of each step at the sender; after it the stream stays with the sender.
+const STEP_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of a whole transfer, commit included, at the receiver; the stream is paused meanwhile.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Limit on concurrent transfers at the receiver.
+const MAX_TRANSFERS: usize = 64;
+/// Receiver: ready for a stream. The protocol's messages besides the state are single letters.
 const READY: u8 = b'r';
-const CAN: u8 = b'y';
-const GO: u8 = b'g';
+/// Receiver: the stream is accepted and can continue there.
+const ACCEPTED: u8 = b'y';
+/// Sender: the stream belongs to the receiver from now on.
+const COMMIT: u8 = b'g';
 
-/// Bytes, as text.
+/// Bytes, serialized as base64 text.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Base64Bytes(pub Vec<u8>);
 
 impl From<Base64Bytes> for String {
-    fn from(text: Base64Bytes) -> String {
-        BASE64_STANDARD.encode(text.0)
+    fn from(bytes: Base64Bytes) -> String {
+        BASE64_STANDARD.encode(bytes.0)
     }
 }
 
@@ -59,121 +62,121 @@
     }
 }
 
-/// Where a server's framing stands between two chunks handed on.
+/// State of the decoder of a server's chunked framing, between two chunks passed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Framing {
-    /// What is missing of a chunk; none in a line.
+    /// Bytes still missing of the current chunk; `None` inside a chunk's size line.
     pub missing: Option<usize>,
-    /// The last chunk has begun.
+    /// The last chunk has begun; only trailers follow.
     pub trailer: bool,
-    /// A part that waits for the rest.
+    /// Received bytes that wait for more.
     pub held: Base64Bytes,
 }
 
-/// What a request is billed by, where a usage ledger is kept.
+/// What the usage ledger needs to bill a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BillingDetails {
-    /// What joins its tries.
+    /// Joins the repeats of one request.
     pub ask: u64,
-    /// Whose it is.
+    /// The tenant's name.
     pub tenant: String,
-    /// When it came, in Unix time.
+    /// When the request arrived, in Unix time.
     pub came_ms: u64,
-    /// The prompt's tokens as it told them.
+    /// Prompt tokens as the request stated them.
     pub prompt: f64,
 }
 
-/// A stream between two of its chunks, besides its connections.
+/// The state of a stream between two of its chunks, besides its connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StreamState {
     /// The request's id.
     pub label: String,
-    /// Its class, by name.
+    /// The class's name.
     pub class: String,
-    /// The server's name and address.
+    /// The server's name.
     pub server: String,
-    /// See there.
+    /// The server's address.
     pub address: SocketAddr,
-    /// How long ago the request came.
+    /// How long ago the request arrived.
     pub age_ms: u64,
-    /// The server's framing.
+    /// State of the server's framing.
     pub framing: Framing,
-    /// An event that has not ended.
+    /// The beginning of an incomplete event.
     pub event: Base64Bytes,
-    /// The final event has come.
+    /// The final event has arrived.
     pub done: bool,
-    /// Prompt tokens found kept.
+    /// Prompt tokens found in the prefix cache.
     pub kept: Option<f64>,
-    /// What its server has said that it used.
+    /// Tokens used, as far as the server has reported them.
     #[serde(default)]
     pub used: Option<Tokens>,
-    /// What it is billed by.
+    /// Billing details, where a usage ledger is kept.
     #[serde(default)]
     pub bill: Option<BillingDetails>,
 }
 
-/// A stream that came from another process.
+/// A stream received from another process.
 pub struct ReceivedStream {
-    /// What is known of it.
+    /// The stream's state.
     pub state: StreamState,
-    /// Its client's connection.
+    /// The client's connection.
     pub client: TcpStream,
-    /// Its server's connection.
+    /// The server's connection.
     pub server: TcpStream,
 }
 
-/// Why a stream stays where it is.
+/// Why a stream stays with the process that has it.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// Nothing is handed over here.
+    /// Hand-over is switched off.
     #[error("off")]
     Disabled,
-    /// No other process took the socket.
+    /// No other process has bound the socket.
     #[error("no-successor")]
     NoSuccessor,
-    /// The other process does not take it, or made no sense.
+    /// The other process declined the stream, timed out or broke the protocol.
     #[error("not-taken")]
     Declined,
-    /// The way there is broken.
+    /// The connection to the other process failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// When streams go, and where to.
+/// The sending side of the hand-over: where the socket is, and whether hand-over has begun.
 pub struct Handover {
     path: Option<PathBuf>,
-    due: watch::Sender<bool>,
+    begun: watch::Sender<bool>,
 }
 
 impl Handover {
-    /// Off without an inherited socket, or without `$TMPDIR`.
+    /// Switched off without an inherited socket or without `$TMPDIR`.
     pub fn new(inherited: bool) -> Rc<Self> {
         let folder = std::env::var_os("TMPDIR").filter(|_| inherited);
         Rc::new(Handover {
-            path: folder.map(|at| PathBuf::from(at).join(NAME)),
-            due: watch::Sender::new(false),
+            path: folder.map(|folder| PathBuf::from(folder).join(SOCKET_NAME)),
+            begun: watch::Sender::new(false),
         })
     }
 
-    /// From now on streams go as soon as they can.
+    /// Starts handing streams over, each as soon as its state permits.
     pub fn begin(&self) {
-        self.due.send_replace(self.path.is_some());
+        self.begun.send_replace(self.path.is_some());
     }
 
-    /// Waits until streams go.
+    /// Waits until hand-over has begun.
     pub async fn started(&self) {
-        let _ = self.due.subscribe().wait_for(|due| *due).await;
+        let _ = self.begun.subscribe().wait_for(|begun| *begun).await;
     }
 
-    /// Takes the path, whatever stands there: what an earlier process left is nobody's. None where streams are not
-    /// taken over; that costs only what SIGKILL cuts off.
+    /// Binds the socket, replacing whatever is at its path: an earlier process may have left a file there. `None` if
+    /// hand-over is off or this fails; the only loss then are the streams that SIGKILL cuts off.
     pub fn listen(&self) -> Option<UnixListener> {
         let path = self.path.as_ref()?;
         let _ = std::fs::remove_file(path);
         UnixListener::bind(path).map_err(|error| log!("handover off error=\"{error}\"")).ok()
     }
 
-    /// Asks the process that took the socket whether it takes a stream.
+    /// Connects to the process that bound the socket and waits until it is ready for a stream.
     pub async fn connect(&self) -> Result<Successor, HandoverError> {
         let path = self.path.as_ref().ok_or(HandoverError::Disabled)?;
         let mut stream = within(UnixStream::connect(path)).await?;
@@ -188,109 +191,113 @@
     }
 }
 
-async fn within<T>(done: impl Future<Output = io::Result<T>>) -> Result<T, HandoverError> {
-    match tokio::time::timeout(ANSWER, done).await {
-        Ok(done) => Ok(done?),
+async fn within<T>(step: impl Future<Output = io::Result<T>>) -> Result<T, HandoverError> {
+    match tokio::time::timeout(STEP_TIMEOUT, step).await {
+        Ok(result) => Ok(result?),
         Err(_) => Err(HandoverError::Declined),
     }
 }
 
-/// A process that is ready to take a stream.
+/// A connection to a process that is ready for a stream.
 pub struct Successor(UnixStream);
 
 impl Successor {
-    /// Hands a stream over. After an error it is still the caller's, and the other side has let go of it.
+    /// Hands a stream over. After an error the caller still owns it, and the receiver has dropped it.
     pub async fn send(
         mut self,
-        form: &StreamState,
+        state: &StreamState,
         client: &TcpStream,
         server: &TcpStream,
     ) -> Result<(), HandoverError> {
-        let body = serde_json::to_vec(form).map_err(io::Error::from)?;
+        let body = serde_json::to_vec(state).map_err(io::Error::from)?;
         let mut message = MAGIC.to_vec();
         message.extend_from_slice(
             &u32::try_from(body.len()).map_err(|_| HandoverError::Declined)?.to_be_bytes(),
         );
         message.extend_from_slice(&body);
         let fds = [client.as_fd(), server.as_fd()];
-        let first = || {
+        let send_descriptors = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-            let mut with = SendAncillaryBuffer::new(&mut space);
-            with.push(SendAncillaryMessage::ScmRights(&fds));
-            Ok(sendmsg(&self.0, &[IoSlice::new(&message)], &mut with, SendFlags::NOSIGNAL)?)
+            let mut ancillary = SendAncillaryBuffer::new(&mut space);
+            ancillary.push(SendAncillaryMessage::ScmRights(&fds));
+            Ok(sendmsg(&self.0, &[IoSlice::new(&message)], &mut ancillary, SendFlags::NOSIGNAL)?)
         };
-        let sent = within(self.0.async_io(Interest::WRITABLE, first)).await?;
+        let sent = within(self.0.async_io(Interest::WRITABLE, send_descriptors)).await?;
         within(self.0.write_all(&message[sent..])).await?;
-        if within(self.0.read_u8()).await? != CAN {
+        if within(self.0.read_u8()).await? != ACCEPTED {
             return Err(HandoverError::Declined);
         }
-        // One byte into an empty buffer: it is there, or the other side has gone.
-        within(self.0.write_u8(GO)).await
+        // One byte fits into an empty send buffer: it is delivered unless the receiver has gone.
+        within(self.0.write_u8(COMMIT)).await
     }
 }
 
-/// Takes streams for ever: `ready` says whether one more can be, `take` goes on with it.
+/// Receives streams until the process ends. `ready` says whether there is room for one more; `take` validates a stream
+/// and returns the continuation that resumes it.
 pub async fn serve(
     listener: UnixListener,
     ready: impl Fn() -> bool + Clone + 'static,
     take: impl Fn(ReceivedStream) -> Option<ResumeStream> + Clone + 'static,
 ) {
-    let offers = Rc::new(Cell::new(0));
+    let transfers = Rc::new(Cell::new(0));
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            // No descriptor is left: the other side keeps its stream.
+            // No descriptor is left; the sender keeps its stream.
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let (ready, take, offers) = (ready.clone(), take.clone(), offers.clone());
-        if offers.get() >= MOST_OFFERS || !ready() {
+        let (ready, take, transfers) = (ready.clone(), take.clone(), transfers.clone());
+        if transfers.get() >= MAX_TRANSFERS || !ready() {
             continue;
         }
-        offers.set(offers.get() + 1);
+        transfers.set(transfers.get() + 1);
         actix_rt::spawn(async move {
-            let until = Instant::now() + OFFER;
-            let offered = tokio::time::timeout_at(until.into(), offer(&mut stream, take)).await;
-            let taken = match offered {
-                Ok(Ok(Some(go))) => is_told_to_go(&mut stream, until).await.then(go).ok_or("slow".to_owned()),
+            let until = Instant::now() + TRANSFER_TIMEOUT;
+            let received = tokio::time::timeout_at(until.into(), receive_stream(&mut stream, take)).await;
+            let result = match received {
+                Ok(Ok(Some(resume))) => {
+                    is_committed(&mut stream, until).await.then(resume).ok_or("slow".to_owned())
+                }
                 Ok(Ok(None)) => Ok(()),
                 Ok(Err(error)) => Err(error.to_string()),
                 Err(_) => Err("slow".to_owned()),
             };
-            offers.set(offers.get() - 1);
-            if let Err(reason) = taken {
+            transfers.set(transfers.get() - 1);
+            if let Err(reason) = result {
                 log!("handover dropped reason=\"{reason}\"");
             }
         });
     }
 }
 
-/// Goes on with a stream that was offered.
+/// Resumes a received stream.
 type ResumeStream = Box<dyn FnOnce()>;
 
-/// Whether the other side says, by then, that the stream goes on here. Without that word it is still the other side's, and
-/// nothing here has touched it. When the time is over this side stops reading before it looks once more: a word is either
-/// found here or refused to who writes it, also where either process stood still meanwhile.
-async fn is_told_to_go(stream: &mut UnixStream, until: Instant) -> bool {
-    if let Ok(word) = tokio::time::timeout_at(until.into(), stream.read_u8()).await {
-        return matches!(word, Ok(GO));
+/// Whether the sender commits the transfer by `until`. Without a commit the sender still owns the stream, and this
+/// process has not touched it. After the timeout this side shuts down reading before it checks a last time, so that a
+/// commit is either found here or fails at the sender, even if one of the processes was suspended meanwhile.
+async fn is_committed(stream: &mut UnixStream, until: Instant) -> bool {
+    if let Ok(letter) = tokio::time::timeout_at(until.into(), stream.read_u8()).await {
+        return matches!(letter, Ok(COMMIT));
     }
     if SockRef::from(&*stream).shutdown(Shutdown::Read).is_err() {
         return false;
     }
-    let mut word = [0];
-    let found = rustix::net::recv(&*stream, &mut word, rustix::net::RecvFlags::DONTWAIT);
-    matches!(found, Ok((1, _))) && word == [GO]
+    let mut letter = [0];
+    let found = rustix::net::recv(&*stream, &mut letter, rustix::net::RecvFlags::DONTWAIT);
+    matches!(found, Ok((1, _))) && letter == [COMMIT]
 }
 
-/// Reads an offer and says that its stream can go on here; none if the other side only asked.
-async fn offer(
+/// Receives a stream and accepts it; `None` if the sender disconnected without sending one.
+async fn receive_stream(
     stream: &mut UnixStream,
     take: impl Fn(ReceivedStream) -> Option<ResumeStream>,
 ) -> Result<Option<ResumeStream>, HandoverError> {
     stream.write_u8(READY).await?;
     let mut fds = Vec::new();
     let mut message = vec![0; 4096];
-    let size = stream.async_io(Interest::READABLE, || receive(stream, &mut message, &mut fds)).await?;
+    let size =
+        stream.async_io(Interest::READABLE, || receive_descriptors(stream, &mut message, &mut fds)).await?;
     if size == 0 {
         return Ok(None);
     }
@@ -300,38 +307,38 @@
         message.push(stream.read_u8().await?);
     }
     let length = u32::from_be_bytes([message[8], message[9], message[10], message[11]]) as usize;
-    if message[..MAGIC.len()] != MAGIC || length > LARGEST || message.len() > start + length {
+    if message[..MAGIC.len()] != MAGIC || length > MAX_STATE_BYTES || message.len() > start + length {
         return Err(HandoverError::Declined);
     }
-    let came = message.len();
+    let received = message.len();
     message.resize(start + length, 0);
-    stream.read_exact(&mut message[came..]).await?;
-    let form: StreamState = serde_json::from_slice(&message[start..]).map_err(io::Error::from)?;
-    let mut sockets = fds.into_iter().map(tcp);
+    stream.read_exact(&mut message[received..]).await?;
+    let state: StreamState = serde_json::from_slice(&message[start..]).map_err(io::Error::from)?;
+    let mut sockets = fds.into_iter().map(tcp_stream);
     let (Some(client), Some(server), None) = (sockets.next(), sockets.next(), sockets.next()) else {
         return Err(HandoverError::Declined);
     };
-    let go =
-        take(ReceivedStream { state: form, client: client?, server: server? }).ok_or(HandoverError::Declined)?;
-    stream.write_u8(CAN).await?;
-    Ok(Some(go))
+    let resume =
+        take(ReceivedStream { state, client: client?, server: server? }).ok_or(HandoverError::Declined)?;
+    stream.write_u8(ACCEPTED).await?;
+    Ok(Some(resume))
 }
 
-/// Reads the start of a message, with the descriptors that came along.
-fn receive(stream: &UnixStream, message: &mut [u8], fds: &mut Vec<OwnedFd>) -> io::Result<usize> {
+/// Reads the start of a message and the descriptors passed with it.
+fn receive_descriptors(stream: &UnixStream, message: &mut [u8], fds: &mut Vec<OwnedFd>) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-    let mut with = RecvAncillaryBuffer::new(&mut space);
-    let got = recvmsg(stream, &mut [IoSliceMut::new(message)], &mut with, RecvFlags::CMSG_CLOEXEC)?;
-    for told in with.drain() {
-        if let RecvAncillaryMessage::ScmRights(came) = told {
-            fds.extend(came);
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let read = recvmsg(stream, &mut [IoSliceMut::new(message)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+    for control_message in ancillary.drain() {
+        if let RecvAncillaryMessage::ScmRights(received) = control_message {
+            fds.extend(received);
         }
     }
-    Ok(got.bytes)
+    Ok(read.bytes)
 }
 
-/// A descriptor as a connection, if it is one.
-fn tcp(fd: OwnedFd) -> io::Result<TcpStream> {
+/// Turns a descriptor into a TCP connection, if it is a connected stream socket.
+fn tcp_stream(fd: OwnedFd) -> io::Result<TcpStream> {
     let socket = Socket::from(fd);
     let connected = socket.r#type()? == Type::STREAM && socket.peer_addr()?.as_socket().is_some();
     if !connected {
@@ -346,7 +353,7 @@
     use super::*;
     use std::cell::RefCell;
 
-    fn form() -> StreamState {
+    fn stream_state() -> StreamState {
         let framing = Framing { missing: Some(3), trailer: false, held: Base64Bytes(b"5\r\nab".to_vec()) };
         let (label, class, server) = ("1".to_owned(), "quick".to_owned(), "w1".to_owned());
         let (address, event) = ("127.0.0.1:1".parse().unwrap(), Base64Bytes(b"data: {".to_vec()));
@@ -365,95 +372,101 @@
         }
     }
 
-    /// What the taking side saw: forms offered, and how many it was told to go on with.
+    /// What the receiver saw: the states of streams offered, and how many streams were committed.
     type Seen = Rc<RefCell<(Vec<StreamState>, usize)>>;
 
-    async fn taking(name: &str, room: bool) -> (Rc<Handover>, Seen, PathBuf) {
+    async fn start_receiver(name: &str, has_room: bool) -> (Rc<Handover>, Seen, PathBuf) {
         let path = std::env::temp_dir().join(format!("fawnstream-{}-{name}", std::process::id()));
-        // Whatever stands there is no hindrance.
+        // An existing file at the path must be replaced.
         std::fs::write(&path, "left by nobody").unwrap();
-        let handover = Rc::new(Handover { path: Some(path.clone()), due: watch::Sender::new(false) });
+        let handover = Rc::new(Handover { path: Some(path.clone()), begun: watch::Sender::new(false) });
         let seen = Seen::default();
-        let noted = seen.clone();
-        let take = move |carried: ReceivedStream| {
-            noted.borrow_mut().0.push(carried.state);
-            let noted = noted.clone();
-            let go: Box<dyn FnOnce()> = Box::new(move || noted.borrow_mut().1 += 1);
-            Some(go)
+        let record = seen.clone();
+        let take = move |stream: ReceivedStream| {
+            record.borrow_mut().0.push(stream.state);
+            let record = record.clone();
+            let resume: Box<dyn FnOnce()> = Box::new(move || record.borrow_mut().1 += 1);
+            Some(resume)
         };
-        actix_rt::spawn(serve(handover.listen().unwrap(), move || room, take));
+        actix_rt::spawn(serve(handover.listen().unwrap(), move || has_room, take));
         (handover, seen, path)
     }
 
-    async fn ready(path: &PathBuf) -> Successor {
+    async fn connect_ready(path: &PathBuf) -> Successor {
         let mut stream = UnixStream::connect(path).await.unwrap();
         assert_eq!(stream.read_u8().await.unwrap(), READY);
         Successor(stream)
     }
 
-    async fn pair() -> (TcpStream, TcpStream) {
+    async fn tcp_pair() -> (TcpStream, TcpStream) {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let near = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         (near, listener.accept().await.unwrap().0)
     }
 
-    async fn until(done: impl Fn() -> bool) {
-        while !done() {
+    async fn wait_until(condition: impl Fn() -> bool) {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
     #[test]
-    fn a_stream_is_taken_whole_or_not_at_all() {
+    fn receives_valid_committed_streams_only() {
         actix_rt::System::new().block_on(async {
-            let (handover, seen, path) = taking("whole", true).await;
-            let ((client, _near), (server, _far)) = (pair().await, pair().await);
+            let (handover, seen, path) = start_receiver("whole", true).await;
+            let ((client, _near), (server, _far)) = (tcp_pair().await, tcp_pair().await);
             // A process never hands over to itself.
             assert!(matches!(handover.connect().await, Err(HandoverError::NoSuccessor)));
-            // Large as it may get, and in pieces.
-            let large = StreamState { event: Base64Bytes(vec![b'x'; 64 * 1024]), ..form() };
-            for form in [form(), large] {
-                ready(&path).await.send(&form, &client, &server).await.unwrap();
-                until(|| seen.borrow().1 == seen.borrow().0.len() && seen.borrow().0.last() == Some(&form))
-                    .await;
+            // The largest event, which arrives in pieces.
+            let large = StreamState { event: Base64Bytes(vec![b'x'; 64 * 1024]), ..stream_state() };
+            for state in [stream_state(), large] {
+                connect_ready(&path).await.send(&state, &client, &server).await.unwrap();
+                wait_until(|| {
+                    seen.borrow().1 == seen.borrow().0.len() && seen.borrow().0.last() == Some(&state)
+                })
+                .await;
             }
             assert_eq!(seen.borrow().1, 2);
-            // Without the last word it is still the other side's.
-            let body = serde_json::to_vec(&form()).unwrap();
+            // An accepted stream without a commit stays with the sender.
+            let body = serde_json::to_vec(&stream_state()).unwrap();
             let whole = [&MAGIC[..], &(body.len() as u32).to_be_bytes(), &body].concat();
             let send = async |bytes: &[u8], fds: usize| {
-                let mut call = ready(&path).await;
+                let mut successor = connect_ready(&path).await;
                 let fds = &[client.as_fd(), server.as_fd()][..fds];
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-                let mut with = SendAncillaryBuffer::new(&mut space);
-                with.push(SendAncillaryMessage::ScmRights(fds));
-                sendmsg(&call.0, &[IoSlice::new(bytes)], &mut with, SendFlags::NOSIGNAL).unwrap();
-                call.0.shutdown().await.unwrap();
+                let mut ancillary = SendAncillaryBuffer::new(&mut space);
+                ancillary.push(SendAncillaryMessage::ScmRights(fds));
+                sendmsg(&successor.0, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL).unwrap();
+                successor.0.shutdown().await.unwrap();
                 let mut answer = Vec::new();
-                let _ = call.0.read_to_end(&mut answer).await;
+                let _ = successor.0.read_to_end(&mut answer).await;
                 answer
             };
-            assert_eq!(send(&whole, 2).await, [CAN]);
-            // A side that stood still between that answer and its word is told that the stream is its own.
-            let mut late = ready(&path).await;
+            assert_eq!(send(&whole, 2).await, [ACCEPTED]);
+            // A sender that was suspended before its commit fails to write it, and so keeps the stream.
+            let mut late = connect_ready(&path).await;
             let fds = [client.as_fd(), server.as_fd()];
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-            let mut with = SendAncillaryBuffer::new(&mut space);
-            with.push(SendAncillaryMessage::ScmRights(&fds));
-            sendmsg(&late.0, &[IoSlice::new(&whole)], &mut with, SendFlags::NOSIGNAL).unwrap();
-            assert_eq!(late.0.read_u8().await.unwrap(), CAN);
-            tokio::time::sleep(OFFER + Duration::from_millis(50)).await;
-            assert!(late.0.write_u8(GO).await.is_err());
+            let mut ancillary = SendAncillaryBuffer::new(&mut space);
+            ancillary.push(SendAncillaryMessage::ScmRights(&fds));
+            sendmsg(&late.0, &[IoSlice::new(&whole)], &mut ancillary, SendFlags::NOSIGNAL).unwrap();
+            assert_eq!(late.0.read_u8().await.unwrap(), ACCEPTED);
+            tokio::time::sleep(TRANSFER_TIMEOUT + Duration::from_millis(50)).await;
+            assert!(late.0.write_u8(COMMIT).await.is_err());
             assert_eq!(seen.borrow().1, 2);
             seen.borrow_mut().0.pop();
             assert_eq!(seen.borrow().0.len(), 3);
-            // Torn, of another version, too long, without its connections, or no form at all: nobody hears of it.
-            let other = [b"fawnHO99", &whole[8..]].concat();
-            let long = [&MAGIC[..], &u32::MAX.to_be_bytes(), &body].concat();
-            let none = [&MAGIC[..], &2u32.to_be_bytes(), b"{}"].concat();
-            for (bytes, fds) in
-                [(&whole[..whole.len() - 1], 2), (&other, 2), (&long, 2), (&none, 2), (&whole, 1)]
-            {
+            // Truncated, of another version, too long, without a descriptor, or no state at all: dropped unseen.
+            let other_version = [b"fawnHO99", &whole[8..]].concat();
+            let too_long = [&MAGIC[..], &u32::MAX.to_be_bytes(), &body].concat();
+            let no_state = [&MAGIC[..], &2u32.to_be_bytes(), b"{}"].concat();
+            for (bytes, fds) in [
+                (&whole[..whole.len() - 1], 2),
+                (&other_version, 2),
+                (&too_long, 2),
+                (&no_state, 2),
+                (&whole, 1),
+            ] {
                 assert!(send(bytes, fds).await.is_empty());
             }
             assert_eq!((seen.borrow().0.len(), seen.borrow().1), (3, 2));
@@ -461,27 +474,27 @@
         });
     }
 
-    /// A word that crosses the end of the time is found, and one that comes later is refused to who writes it.
+    /// A commit that arrives just before the timeout is found, and one written later fails at the sender.
     #[test]
-    fn a_word_is_found_or_refused() {
+    fn commit_is_found_or_fails_at_sender() {
         use std::io::Write as _;
         actix_rt::System::new().block_on(async {
             let (near, mut far) = std::os::unix::net::UnixStream::pair().unwrap();
-            far.write_all(&[GO]).unwrap();
+            far.write_all(&[COMMIT]).unwrap();
             near.set_nonblocking(true).unwrap();
             let mut near = UnixStream::from_std(near).unwrap();
-            // The runtime has not seen yet that something stands there.
-            assert!(is_told_to_go(&mut near, Instant::now()).await);
+            // The runtime has not polled the socket yet.
+            assert!(is_committed(&mut near, Instant::now()).await);
             let (mut near, mut far) = UnixStream::pair().unwrap();
-            assert!(!is_told_to_go(&mut near, Instant::now()).await);
-            assert!(far.write_u8(GO).await.is_err());
+            assert!(!is_committed(&mut near, Instant::now()).await);
+            assert!(far.write_u8(COMMIT).await.is_err());
         });
     }
 
     #[test]
-    fn without_room_or_without_a_path_nothing_is_taken() {
+    fn receives_nothing_without_room_or_path() {
         actix_rt::System::new().block_on(async {
-            let (_, _, path) = taking("room", false).await;
+            let (_, _, path) = start_receiver("room", false).await;
             let mut stream = UnixStream::connect(&path).await.unwrap();
             assert!(stream.read_u8().await.is_err());
             std::fs::remove_file(path).unwrap();
