--- a/router/src/usage.rs
+++ b/router/src/usage.rs
@@ -1,5 +1,5 @@
-//! The usage ledger's side of the router: the core tells it of requests as they come and end; a thread of its own
-//! writes them down and exports them, so that no request ever waits for a disk or a sink. Only where it is switched on.
+//! The router's usage ledger, if it is on. The core reports requests as they start and end; a separate thread records
+//! and exports them, so that no request ever waits for a disk or a sink.
 
 mod export;
 
@@ -18,69 +18,71 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, watch};
 
-/// What waits for the ledger's thread at most; more is lost, counted, and shows as a gap of no entry.
-const MOST_WAITING: usize = 8_192;
-/// Taken off the queue at once.
-const AT_ONCE: usize = 512;
-/// The process before this one may still write for so long.
-const LOCKED: Duration = Duration::from_secs(60);
-/// Records that are taken on and not on the disk, at most: while the disk fails they wait in memory, and what comes beyond
-/// is lost and counted.
-pub const MOST_UNWRITTEN: usize = 16_384;
-/// A disk that failed is tried again after this, doubling to the longest.
-const FIRST_RETRY: Duration = Duration::from_millis(50);
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
-/// So often when the process ends, one retry apart.
-const LAST_TRIES: u32 = 50;
-/// At the start a disk that fails is waited for so long: a restarted router is to be ready within 10 s.
-const FAILING_AT_START: Duration = Duration::from_secs(6);
-/// How often periods are looked at.
-const PERIODS: Duration = Duration::from_millis(250);
-
-/// What the files of a usage ledger are called.
-const KIND: &str = "usage";
-
-/// Why the ledger cannot begin.
+/// Capacity of the queue to the ledger's thread. Events beyond it are lost and counted; they leave no gap in the
+/// numbers of entries.
+const QUEUE_CAPACITY: usize = 8_192;
+/// Most events taken from the queue at once.
+const EVENTS_PER_RECEIVE: usize = 512;
+/// Longest wait for the previous process to release the ledger's files.
+const LOCK_WAIT: Duration = Duration::from_secs(60);
+/// Limit on records not yet on the disk. While the disk fails they wait in memory; records beyond the limit are lost
+/// and counted.
+pub const MAX_UNSYNCED_RECORDS: usize = 16_384;
+/// First delay of the exponential backoff after a disk failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay of that backoff.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Attempts to write what is left when the process ends, `MIN_RETRY_DELAY` apart.
+const FINAL_SYNC_ATTEMPTS: u32 = 50;
+/// Longest wait for a failing disk at the start: a restarted router must be ready within 10 s.
+const START_DISK_WAIT: Duration = Duration::from_secs(6);
+/// How often periods that are due are closed.
+const PERIOD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Prefix of the ledger's file names.
+const FILE_KIND: &str = "usage";
+
+/// Why the ledger cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// Its files.
+    /// Its files cannot be opened.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// No thread is to be had.
-    #[error("the ledger's thread: {0}")]
+    /// Its thread cannot be started.
+    #[error("cannot start the ledger's thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// The thread ended before it began.
-    #[error("the ledger's thread ended")]
+    /// Its thread ended while it started.
+    #[error("the ledger's thread ended at its start")]
     Ended,
 }
 
-/// What the core tells.
-enum Told {
-    Came { request: u64, ask: u64, tenant: String, at_ms: u64 },
+/// What the core reports.
+enum LedgerEvent {
+    Started { request: u64, repeat_key: u64, tenant: String, at_ms: u64 },
     Ended { request: u64, used: Box<RequestUsage>, at_ms: u64 },
-    Handed { request: u64 },
-    Left,
+    HandedOver { request: u64 },
+    Stop,
 }
 
-/// Figures, and whether the ledger has stopped.
+/// Counts for the metrics, and whether the disk fails.
 #[derive(Default)]
 pub struct LedgerStatus {
     /// Entries on the disk since the start.
     pub entries: AtomicU64,
-    /// Entries that the sink has.
+    /// Entries that the sink has received.
     pub exported: AtomicU64,
-    /// Requests that were not written down.
+    /// Requests that were not recorded.
     pub lost: AtomicU64,
-    /// Entries that are taken on and not on the disk.
+    /// Entries recorded and not yet on the disk.
     pub waiting: AtomicU64,
-    /// The disk fails now, or the ledger never began.
+    /// The disk fails now, or the ledger could not start.
     pub stopped: AtomicBool,
 }
 
-/// Where the core tells of requests.
+/// The core's handle on the ledger's thread.
 pub struct UsageLedger {
-    told: mpsc::Sender<Told>,
-    state: Arc<LedgerStatus>,
+    events: mpsc::Sender<LedgerEvent>,
+    status: Arc<LedgerStatus>,
     thread: std::cell::RefCell<Option<std::thread::JoinHandle<()>>>,
 }
 
@@ -89,249 +91,263 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// What joins tries of one request: everything that a client sends again unchanged.
-fn ask(call: &Call) -> u64 {
+/// Joins the repeats of a request: a hash of everything that a client sends again unchanged.
+fn repeat_key(call: &Call) -> u64 {
     let session = call.session.map_or(0, |key| key.0);
     crate::names::hash_bytes(&call.body)
         ^ crate::names::hash(&format!("{session:x} {:?}", call.class)).rotate_left(17)
 }
 
 impl UsageLedger {
-    /// Opens the ledger and starts its thread. `waits`: a process before this one may hold it a while longer.
+    /// Opens the ledger and starts its thread. `waits`: the previous process may hold the files a while longer.
     pub fn start(
-        told: Ledger,
+        settings: Ledger,
         router: &str,
         names: &Names,
         quotas: &[f64],
         waits: bool,
     ) -> Result<Rc<Self>, UsageError> {
-        // Its lines are structured; those of connections stay with the house log. A second start in a process keeps
-        // the first one's.
+        // The ledger logs through tracing; connections use the `log` module. A second start in a process keeps the
+        // first one's subscriber.
         let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
         let rules = RecorderConfig {
             router: router.to_owned(),
-            period_ms: told.period_ms,
-            grace_ms: told.grace_ms,
-            join_ms: told.join_ms,
+            period_ms: settings.period_ms,
+            grace_ms: settings.grace_ms,
+            join_ms: settings.join_ms,
             quotas: names.tenants.iter().cloned().zip(quotas.iter().copied()).collect::<BTreeMap<_, _>>(),
         };
-        let (queue, waiting) = mpsc::channel(MOST_WAITING);
-        let state = Arc::<LedgerStatus>::default();
-        let (begun, begins) = std::sync::mpsc::sync_channel(1);
-        let seen = state.clone();
+        let (events, received) = mpsc::channel(QUEUE_CAPACITY);
+        let status = Arc::<LedgerStatus>::default();
+        let (started, start_result) = std::sync::mpsc::sync_channel(1);
+        let thread_status = status.clone();
         let thread = std::thread::Builder::new().name("ledger".to_owned()).spawn(move || {
-            let (book, log) = match open(&told, &rules, waits, &begun) {
+            let (recorder, log) = match open(&settings, &rules, waits, &started) {
                 Ok(opened) => opened,
                 Err(error) => {
-                    seen.stopped.store(true, Ordering::Relaxed);
+                    thread_status.stopped.store(true, Ordering::Relaxed);
                     let late = |std::sync::mpsc::SendError(error)| {
-                        // The start went on meanwhile, while another process held the files.
+                        // The start was reported as a success while another process still held the files.
                         if let Err(error) = error {
                             tracing::error!(reason = %error, "ledger stopped");
                         }
                     };
-                    return begun.send(Err(error)).unwrap_or_else(late);
+                    return started.send(Err(error)).unwrap_or_else(late);
                 }
             };
-            let _ = begun.try_send(Ok(()));
+            let _ = started.try_send(Ok(()));
             let router = rules.router;
-            let keeper = Keeper::new(told, router, book, log, seen);
-            actix_rt::System::new().block_on(keeper.run(waiting));
+            let thread = LedgerThread::new(settings, router, recorder, log, thread_status);
+            actix_rt::System::new().block_on(thread.run(received));
         })?;
-        begins.recv().map_err(|_| UsageError::Ended)??;
-        Ok(Rc::new(UsageLedger { told: queue, state, thread: std::cell::RefCell::new(Some(thread)) }))
+        start_result.recv().map_err(|_| UsageError::Ended)??;
+        Ok(Rc::new(UsageLedger { events, status, thread: std::cell::RefCell::new(Some(thread)) }))
     }
 
-    /// The figures.
+    /// The counts for the metrics.
     pub fn status(&self) -> &LedgerStatus {
-        &self.state
+        &self.status
     }
 
-    fn tell(&self, told: Told) {
-        if self.told.try_send(told).is_err() {
-            self.state.lost.fetch_add(1, Ordering::Relaxed);
+    fn report(&self, event: LedgerEvent) {
+        if self.events.try_send(event).is_err() {
+            self.status.lost.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// A request was taken.
+    /// A request was accepted.
     pub fn request_started(&self, request: RequestId, call: &Call, tenant: &str) {
         let (tenant, at_ms) = (tenant.to_owned(), now_ms());
-        self.tell(Told::Came { request: request.0, ask: ask(call), tenant, at_ms });
+        self.report(LedgerEvent::Started { request: request.0, repeat_key: repeat_key(call), tenant, at_ms });
     }
 
-    /// What a request is billed by, for a process that goes on with its stream.
+    /// The billing details of a request whose stream is handed over to another process.
     pub fn billing_details(&self, call: &Call, tenant: &str) -> BillingDetails {
         let age = call.arrived.elapsed().as_millis() as u64;
         BillingDetails {
-            ask: ask(call),
+            ask: repeat_key(call),
             tenant: tenant.to_owned(),
             came_ms: now_ms().saturating_sub(age),
             prompt: call.prompt_len,
         }
     }
 
-    /// Another process began it, and billed nothing.
+    /// A request's stream was received from another process, which did not bill it.
     pub fn request_received(&self, request: RequestId, bill: BillingDetails) {
-        let BillingDetails { ask, tenant, came_ms: at_ms, .. } = bill;
-        self.tell(Told::Came { request: request.0, ask, tenant, at_ms });
+        let BillingDetails { ask: repeat_key, tenant, came_ms: at_ms, .. } = bill;
+        self.report(LedgerEvent::Started { request: request.0, repeat_key, tenant, at_ms });
     }
 
-    /// Another process goes on with it.
+    /// A request's stream was handed over to another process, which bills it.
     pub fn request_handed_over(&self, request: RequestId) {
-        self.tell(Told::Handed { request: request.0 });
+        self.report(LedgerEvent::HandedOver { request: request.0 });
     }
 
     /// A request has its final outcome.
     pub fn request_ended(&self, request: RequestId, used: RequestUsage) {
-        self.tell(Told::Ended { request: request.0, used: Box::new(used), at_ms: now_ms() });
+        self.report(LedgerEvent::Ended { request: request.0, used: Box::new(used), at_ms: now_ms() });
     }
 
-    /// Writes down what was told and ends the thread; what the sink has not got waits for the next start.
+    /// Writes what is left to the disk and ends the thread. Entries not yet exported wait for the next start.
     pub async fn stop(&self) {
-        let _ = self.told.send(Told::Left).await;
+        let _ = self.events.send(LedgerEvent::Stop).await;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// Opens the files; where another process holds them it says that it waits, and does.
+/// Opens the files. While another process holds them, reports the start as a success and waits for them.
 fn open(
-    told: &Ledger,
+    settings: &Ledger,
     rules: &RecorderConfig,
     waits: bool,
-    begun: &std::sync::mpsc::SyncSender<Result<(), UsageError>>,
+    started: &std::sync::mpsc::SyncSender<Result<(), UsageError>>,
 ) -> Result<(Recorder, LogWriter<Record>), UsageError> {
-    let until = Instant::now() + LOCKED;
-    let disk_until = Instant::now() + FAILING_AT_START;
+    let lock_deadline = Instant::now() + LOCK_WAIT;
+    let disk_deadline = Instant::now() + START_DISK_WAIT;
     loop {
-        // The first record decides from which period on the book is open, so each is taken in as it is read.
-        let mut book = Recorder::new(rules.clone(), now_ms());
-        match LogWriter::open(&told.folder, KIND, &rules.router, told.segment, |record| book.replay(&record))
-        {
+        // Records are replayed as they are read, because the first one decides which period is the first open one.
+        let mut recorder = Recorder::new(rules.clone(), now_ms());
+        match LogWriter::open(&settings.folder, FILE_KIND, &rules.router, settings.segment, |record| {
+            recorder.replay(&record)
+        }) {
             Ok((log, torn)) => {
                 tracing::info!(
-                    next = book.next_number(),
-                    open_from = book.first_open_period(),
+                    next = recorder.next_number(),
+                    open_from = recorder.first_open_period(),
                     torn,
                     "ledger open"
                 );
-                return Ok((book, log));
+                return Ok((recorder, log));
             }
-            Err(StoreError::Locked { .. }) if waits && Instant::now() < until => {
-                let _ = begun.try_send(Ok(()));
+            Err(StoreError::Locked { .. }) if waits && Instant::now() < lock_deadline => {
+                let _ = started.try_send(Ok(()));
                 std::thread::sleep(Duration::from_millis(50));
             }
-            Err(StoreError::Io { ref error, .. }) if passes(error) && Instant::now() < disk_until => {
-                std::thread::sleep(FIRST_RETRY);
+            Err(StoreError::Io { ref error, .. })
+                if is_transient(error) && Instant::now() < disk_deadline =>
+            {
+                std::thread::sleep(MIN_RETRY_DELAY);
             }
             Err(error) => return Err(error.into()),
         }
     }
 }
 
-/// A disk that is full or fails for a while; anything else is wrong with the configuration.
-fn passes(error: &std::io::Error) -> bool {
+/// Whether the disk is full or fails, which may pass. Any other error means a wrong configuration.
+fn is_transient(error: &std::io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EIO | libc::ENOSPC | libc::EDQUOT | libc::ENFILE))
 }
 
 /// The ledger's thread.
-struct Keeper {
-    told: Ledger,
+struct LedgerThread {
+    settings: Ledger,
     router: String,
-    book: Recorder,
+    recorder: Recorder,
     log: LogWriter<Record>,
-    state: Arc<LedgerStatus>,
-    /// Requests that have come and not ended; the core ends each.
+    status: Arc<LedgerStatus>,
+    /// Requests that have started and not ended; the core ends each one.
     open: HashMap<u64, OpenRequest>,
-    /// The numbers of entries that are not on the disk, in their order; none for other records.
-    unwritten: VecDeque<Option<u64>>,
-    /// When what waits is put on the disk; none if nothing does.
+    /// Records not yet on the disk, in their order: the number of an entry, `None` for other records.
+    unsynced: VecDeque<Option<u64>>,
+    /// When unsynced records are synced; `None` without any.
     sync_at: Option<Instant>,
-    /// How long to wait after the next failure.
-    retry: Duration,
+    /// Delay after the next failure.
+    retry_delay: Duration,
 }
 
-impl Keeper {
+impl LedgerThread {
     fn new(
-        told: Ledger,
+        settings: Ledger,
         router: String,
-        book: Recorder,
+        recorder: Recorder,
         log: LogWriter<Record>,
-        state: Arc<LedgerStatus>,
+        status: Arc<LedgerStatus>,
     ) -> Self {
-        let (open, unwritten) = Default::default();
-        Keeper { told, router, book, log, state, open, unwritten, sync_at: None, retry: FIRST_RETRY }
+        let (open, unsynced) = Default::default();
+        LedgerThread {
+            settings,
+            router,
+            recorder,
+            log,
+            status,
+            open,
+            unsynced,
+            sync_at: None,
+            retry_delay: MIN_RETRY_DELAY,
+        }
     }
 
-    async fn run(mut self, mut waiting: mpsc::Receiver<Told>) {
-        let (on_disk, follow) = watch::channel(self.book.next_number() - 1);
-        if let Some(sink) = self.told.sink.clone() {
-            match export::Export::open(&self.told, sink, &self.router, self.state.clone()) {
+    async fn run(mut self, mut queue: mpsc::Receiver<LedgerEvent>) {
+        let (last_synced, follow) = watch::channel(self.recorder.next_number() - 1);
+        if let Some(sink) = self.settings.sink.clone() {
+            match export::Export::open(&self.settings, sink, &self.router, self.status.clone()) {
                 Ok(export) => drop(actix_rt::spawn(export.run(follow))),
                 Err(error) => tracing::error!(reason = %error, "ledger export stopped"),
             }
         }
-        let mut periods = Instant::now();
-        let mut told = Vec::new();
+        let mut next_period_check = Instant::now();
+        let mut events = Vec::new();
         loop {
-            let look = self.sync_at.map_or(periods, |sync| sync.min(periods));
+            let wake_at = self.sync_at.map_or(next_period_check, |sync| sync.min(next_period_check));
             tokio::select! {
                 biased;
-                count = waiting.recv_many(&mut told, AT_ONCE) => {
-                    let ended = count == 0 || told.iter().any(|told| matches!(told, Told::Left));
-                    self.take(&mut told);
-                    if ended {
+                count = queue.recv_many(&mut events, EVENTS_PER_RECEIVE) => {
+                    let stops = count == 0 || events.iter().any(|event| matches!(event, LedgerEvent::Stop));
+                    self.record(&mut events);
+                    if stops {
                         return self.end().await;
                     }
                 }
-                () = tokio::time::sleep_until(look.into()) => {}
+                () = tokio::time::sleep_until(wake_at.into()) => {}
             }
             if self.sync_at.is_some_and(|sync| sync <= Instant::now())
                 && let Some(last) = self.sync()
             {
-                on_disk.send_replace(last);
+                last_synced.send_replace(last);
             }
-            if periods <= Instant::now() {
-                periods = Instant::now() + PERIODS;
+            if next_period_check <= Instant::now() {
+                next_period_check = Instant::now() + PERIOD_CHECK_INTERVAL;
                 self.close_periods();
             }
         }
     }
 
-    /// Writes down what was told.
-    fn take(&mut self, told: &mut Vec<Told>) {
-        for told in told.drain(..) {
-            match told {
-                Told::Came { request, ask, tenant, at_ms } => {
-                    let begun = self.book.begin(ask, &tenant, at_ms);
-                    self.open.insert(request, begun);
+    /// Records events.
+    fn record(&mut self, events: &mut Vec<LedgerEvent>) {
+        for event in events.drain(..) {
+            match event {
+                LedgerEvent::Started { request, repeat_key, tenant, at_ms } => {
+                    let open = self.recorder.begin(repeat_key, &tenant, at_ms);
+                    self.open.insert(request, open);
                 }
-                Told::Ended { request, used, at_ms } => match self.open.remove(&request) {
-                    Some(begun) if self.has_room() => {
-                        let record = self.book.end(begun, *used, at_ms);
+                LedgerEvent::Ended { request, used, at_ms } => match self.open.remove(&request) {
+                    Some(open) if self.has_room() => {
+                        let record = self.recorder.end(open, *used, at_ms);
                         self.append(record);
                     }
-                    // No room for it, or its beginning was lost when too much waited.
-                    _ => drop(self.state.lost.fetch_add(1, Ordering::Relaxed)),
+                    // There is no room for it, or its start was lost when the queue was full.
+                    _ => drop(self.status.lost.fetch_add(1, Ordering::Relaxed)),
                 },
-                Told::Handed { request } => drop(self.open.remove(&request)),
-                Told::Left => {}
+                LedgerEvent::HandedOver { request } => drop(self.open.remove(&request)),
+                LedgerEvent::Stop => {}
             }
         }
     }
 
     fn close_periods(&mut self) {
         if self.has_room()
-            && let Some(record) = self.book.close_due_periods(now_ms())
+            && let Some(record) = self.recorder.close_due_periods(now_ms())
         {
             self.append(record);
         }
     }
 
-    /// Whether one more record can wait. Asked before a record has its number, so that numbers have no gaps.
+    /// Whether there is room for one more record. Checked before a record gets its number, so that numbers have no
+    /// gaps.
     fn has_room(&self) -> bool {
-        self.unwritten.len() < MOST_UNWRITTEN
+        self.unsynced.len() < MAX_UNSYNCED_RECORDS
     }
 
     fn append(&mut self, record: Record) {
@@ -341,60 +357,64 @@
         };
         match self.log.append(std::slice::from_ref(&record)) {
             Ok(()) => {
-                self.unwritten.push_back(number);
-                self.sync_at.get_or_insert_with(|| Instant::now() + self.told.sync);
-                self.state.waiting.fetch_add(u64::from(number.is_some()), Ordering::Relaxed);
+                self.unsynced.push_back(number);
+                self.sync_at.get_or_insert_with(|| Instant::now() + self.settings.sync);
+                self.status.waiting.fetch_add(u64::from(number.is_some()), Ordering::Relaxed);
             }
-            // It is no record: it would not be read again.
+            // The log rejected the record because it could not be read back.
             Err(error) => {
-                self.state.lost.fetch_add(1, Ordering::Relaxed);
+                self.status.lost.fetch_add(1, Ordering::Relaxed);
                 tracing::error!(reason = %error, "ledger entry dropped");
             }
         }
     }
 
-    /// Puts what waits on the disk, as far as that works; gives the last entry that got there.
+    /// Syncs records to the disk as far as possible; returns the number of the last entry synced.
     fn sync(&mut self) -> Option<u64> {
         match self.log.sync() {
             Ok(()) => {
-                (self.sync_at, self.retry) = (None, FIRST_RETRY);
-                if self.state.stopped.swap(false, Ordering::Relaxed) {
-                    tracing::info!("ledger goes on");
+                (self.sync_at, self.retry_delay) = (None, MIN_RETRY_DELAY);
+                if self.status.stopped.swap(false, Ordering::Relaxed) {
+                    tracing::info!("ledger writes to its disk again");
                 }
             }
             Err(error) => {
-                self.sync_at = Some(Instant::now() + self.retry);
-                self.retry = (self.retry * 2).min(LONGEST_RETRY);
-                if !self.state.stopped.swap(true, Ordering::Relaxed) {
-                    tracing::error!(reason = %error, waiting = self.unwritten.len(), "ledger waits for its disk");
+                self.sync_at = Some(Instant::now() + self.retry_delay);
+                self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
+                if !self.status.stopped.swap(true, Ordering::Relaxed) {
+                    tracing::error!(
+                        reason = %error,
+                        waiting = self.unsynced.len(),
+                        "ledger cannot write to its disk; retrying"
+                    );
                 }
             }
         }
-        let done = self.unwritten.len().saturating_sub(self.log.unsynced());
-        let numbers: Vec<u64> = self.unwritten.drain(..done).flatten().collect();
-        self.state.entries.fetch_add(numbers.len() as u64, Ordering::Relaxed);
-        self.state.waiting.fetch_sub(numbers.len() as u64, Ordering::Relaxed);
+        let synced = self.unsynced.len().saturating_sub(self.log.unsynced());
+        let numbers: Vec<u64> = self.unsynced.drain(..synced).flatten().collect();
+        self.status.entries.fetch_add(numbers.len() as u64, Ordering::Relaxed);
+        self.status.waiting.fetch_sub(numbers.len() as u64, Ordering::Relaxed);
         numbers.last().copied()
     }
 
-    /// The process ends: what waits gets a few tries more.
+    /// Syncs what is left when the process ends, with a limited number of attempts.
     async fn end(&mut self) {
-        for _ in 0..LAST_TRIES {
+        for _ in 0..FINAL_SYNC_ATTEMPTS {
             self.sync();
-            if self.unwritten.is_empty() {
+            if self.unsynced.is_empty() {
                 return;
             }
-            tokio::time::sleep(FIRST_RETRY).await;
+            tokio::time::sleep(MIN_RETRY_DELAY).await;
         }
-        let lost = self.unwritten.iter().flatten().count() as u64;
-        self.state.lost.fetch_add(lost, Ordering::Relaxed);
-        tracing::error!(lost, "ledger ended before its disk took all");
+        let lost = self.unsynced.iter().flatten().count() as u64;
+        self.status.lost.fetch_add(lost, Ordering::Relaxed);
+        tracing::error!(lost, "ledger stopped with entries not written to its disk");
     }
 }
 
-/// How the core's outcomes are called in a ledger.
-pub fn outcome(how: &str) -> Outcome {
-    match how {
+/// Maps an outcome of the core to one of the ledger.
+pub fn outcome(name: &str) -> Outcome {
+    match name {
         "served" => Outcome::Served,
         "refused" => Outcome::Refused,
         "broken" => Outcome::Broken,
@@ -403,7 +423,7 @@
     }
 }
 
-/// Tokens as a server's usage event reports them; none that make no sense.
+/// Parses the token counts of a server's usage event; `None` if they are missing or invalid.
 pub fn parse_tokens(usage: &serde_json::Value) -> Option<Tokens> {
     let count = |path: &str| usage.pointer(path)?.as_u64().and_then(|count| i64::try_from(count).ok());
     let kept = count("/prompt_tokens_details/cached_tokens").unwrap_or(0);
--- a/router/src/usage/export.rs
+++ b/router/src/usage/export.rs
@@ -1,7 +1,8 @@
-//! The ledger's export: batches go to a sink one after the other, each until the sink has it. What was written down
-//! before says after a crash which batch may have been sent, and the same one goes again under the same name.
+//! Exports the ledger's entries in batches, one after the other; each is sent until the sink has confirmed it. Every
+//! batch is written to a progress log before it is sent. After a crash the same batch is sent again under the same
+//! name, so that the sink can drop repeats.
 
-use super::{KIND, LedgerStatus};
+use super::{FILE_KIND, LedgerStatus};
 use crate::config::ledger::{Ledger, Sink};
 use awc::http::header::CONTENT_TYPE;
 use fawnstream_ledger::batch::{Batch, ExportProgress, Step};
@@ -14,17 +15,18 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What the files of its progress are called.
-const PROGRESS: &str = "export";
-/// A sink's answer comes in this time; else it is asked again, under the same name.
-const ANSWER: Duration = Duration::from_secs(5);
-/// Waits after a failure: doubling, half to all of it by chance.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
-/// A disk that failed is tried again after this.
-const DISK_WAIT: Duration = Duration::from_millis(200);
-/// Steps are few bytes: one file holds the progress of years.
-const SEGMENT: u64 = 64 * 1024 * 1024;
+/// Prefix of the progress log's file names.
+const PROGRESS_KIND: &str = "export";
+/// Timeout of a sink's answer, after which the batch is sent again.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// First delay of the exponential backoff after a failure at the sink; jitter shortens each delay by up to a half.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest delay of that backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// Delay after a disk failure.
+const DISK_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Size at which a new progress file is begun. Steps are a few bytes, so that one file holds the progress of years.
+const PROGRESS_SEGMENT_BYTES: u64 = 64 * 1024 * 1024;
 
 #[derive(Serialize)]
 struct Body<'a> {
@@ -33,105 +35,123 @@
     entries: &'a [Entry],
 }
 
-/// See the module's page.
+/// The export of one ledger to one sink.
 pub struct Export {
     folder: PathBuf,
     sink: Sink,
     router: String,
-    state: Arc<LedgerStatus>,
+    status: Arc<LedgerStatus>,
     progress: ExportProgress,
-    steps: LogWriter<Step>,
-    /// The ledger, from the first entry that the sink has not got; read as it is needed.
+    progress_log: LogWriter<Step>,
+    /// Reads the ledger, one batch at a time.
     ledger: LogReader<Record>,
-    /// The batch that is on its way.
-    held: Vec<Entry>,
-    wait: Duration,
-    tries: u64,
+    /// Entries of the current batch.
+    entries: Vec<Entry>,
+    backoff: Duration,
+    failures: u64,
 }
 
 impl Export {
-    /// Goes on where the last start ended.
+    /// Opens the export, which continues where the last process stopped.
     pub fn open(
-        told: &Ledger,
+        settings: &Ledger,
         sink: Sink,
         router: &str,
-        state: Arc<LedgerStatus>,
+        status: Arc<LedgerStatus>,
     ) -> Result<Self, StoreError> {
         let mut progress = ExportProgress::default();
-        let (steps, _) =
-            LogWriter::open(&told.folder, PROGRESS, router, SEGMENT, |step| progress.apply(step))?;
-        let ledger = LogReader::open(&told.folder, KIND)?;
-        tracing::info!(has = progress.last_exported, pending = progress.pending.is_some(), "ledger export");
-        let (router, held) = (router.to_owned(), Vec::new());
-        let folder = told.folder.clone();
-        Ok(Export { folder, sink, router, state, progress, steps, ledger, held, wait: FIRST_WAIT, tries: 0 })
+        let (progress_log, _) =
+            LogWriter::open(&settings.folder, PROGRESS_KIND, router, PROGRESS_SEGMENT_BYTES, |step| {
+                progress.apply(step)
+            })?;
+        let ledger = LogReader::open(&settings.folder, FILE_KIND)?;
+        tracing::info!(
+            has = progress.last_exported,
+            pending = progress.pending.is_some(),
+            "ledger export open"
+        );
+        let (router, entries) = (router.to_owned(), Vec::new());
+        let folder = settings.folder.clone();
+        Ok(Export {
+            folder,
+            sink,
+            router,
+            status,
+            progress,
+            progress_log,
+            ledger,
+            entries,
+            backoff: MIN_BACKOFF,
+            failures: 0,
+        })
     }
 
-    /// Sends what the disk has, up to the entry that is told, for as long as it can. It may end at any point: what it
-    /// has written down says how to go on.
-    pub async fn run(mut self, mut on_disk: watch::Receiver<u64>) {
+    /// Exports all entries up to the one in `last_synced`, and newer ones as they are synced. May be cancelled at any
+    /// point; the progress log says how to continue.
+    pub async fn run(mut self, mut last_synced: watch::Receiver<u64>) {
         loop {
-            let last = *on_disk.borrow_and_update();
-            match self.one(last).await {
+            let last = *last_synced.borrow_and_update();
+            match self.attempt_batch(last).await {
                 Ok(true) => {}
-                Ok(false) if on_disk.changed().await.is_ok() => {}
+                Ok(false) if last_synced.changed().await.is_ok() => {}
                 Ok(false) => return,
                 Err(error @ StoreError::Io { .. }) => {
-                    tracing::warn!(reason = %error, "ledger export waits for its disk");
-                    self.reread(LogReader::open(&self.folder, KIND));
-                    tokio::time::sleep(DISK_WAIT).await;
+                    tracing::warn!(reason = %error, "ledger export cannot use its disk; retrying");
+                    self.restart_reader(LogReader::open(&self.folder, FILE_KIND));
+                    tokio::time::sleep(DISK_RETRY_DELAY).await;
                 }
                 Err(error) => return tracing::error!(reason = %error, "ledger export stopped"),
             }
         }
     }
 
-    /// One try of one batch. False if there is none.
-    async fn one(&mut self, on_disk: u64) -> Result<bool, StoreError> {
-        let Some((batch, fresh)) = self.progress.next_batch(on_disk) else { return Ok(false) };
-        if fresh {
-            self.step(Step::Sends(batch))?;
+    /// Attempts to export the next batch once. False if there is none.
+    async fn attempt_batch(&mut self, last_synced: u64) -> Result<bool, StoreError> {
+        let Some((batch, is_new)) = self.progress.next_batch(last_synced) else { return Ok(false) };
+        if is_new {
+            self.record_step(Step::Sends(batch))?;
         }
-        self.load(batch)?;
+        self.load_entries(batch)?;
         if self.send(batch).await {
-            self.step(Step::Has(batch))?;
-            self.held.clear();
-            self.wait = FIRST_WAIT;
-            self.state.exported.fetch_add(batch.last + 1 - batch.first, Ordering::Relaxed);
+            self.record_step(Step::Has(batch))?;
+            self.entries.clear();
+            self.backoff = MIN_BACKOFF;
+            self.status.exported.fetch_add(batch.last + 1 - batch.first, Ordering::Relaxed);
         } else {
-            // Spread, so that routers that lost the sink together do not come back together.
-            self.tries += 1;
-            let chance = crate::names::hash(&format!("{} {}", self.router, self.tries)) >> 40;
-            let wait = self.wait.mul_f64(0.5 + 0.5 * chance as f64 / (1u64 << 24) as f64);
-            self.wait = (self.wait * 2).min(LONGEST_WAIT);
-            tokio::time::sleep(wait).await;
+            // Jitter, so that routers that lost the sink at the same time do not retry at the same time.
+            self.failures += 1;
+            let random_bits = crate::names::hash(&format!("{} {}", self.router, self.failures)) >> 40;
+            let delay = self.backoff.mul_f64(0.5 + 0.5 * random_bits as f64 / (1u64 << 24) as f64);
+            self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+            tokio::time::sleep(delay).await;
         }
         Ok(true)
     }
 
-    /// Reads the ledger from its beginning again: a read that failed may have stopped inside a record.
-    fn reread(&mut self, ledger: Result<LogReader<Record>, StoreError>) {
+    /// Reads the ledger from its beginning again, because a failed read may have stopped inside a record.
+    fn restart_reader(&mut self, ledger: Result<LogReader<Record>, StoreError>) {
         if let Ok(ledger) = ledger {
             self.ledger = ledger;
-            self.held.clear();
+            self.entries.clear();
         }
     }
 
-    /// On the disk before anything depends on it. One that was kept from the disk before is the same one.
-    fn step(&mut self, step: Step) -> Result<(), StoreError> {
-        if self.steps.unsynced() == 0 {
-            self.steps.append(&[step])?;
+    /// Writes a step to the disk before anything depends on it. A step that an earlier attempt could not sync is the
+    /// same one, so that it is not appended again.
+    fn record_step(&mut self, step: Step) -> Result<(), StoreError> {
+        if self.progress_log.unsynced() == 0 {
+            self.progress_log.append(&[step])?;
         }
-        self.steps.sync()?;
+        self.progress_log.sync()?;
         self.progress.apply(step);
         Ok(())
     }
 
-    /// Reads the batch's entries, those of one batch at a time.
-    fn load(&mut self, batch: Batch) -> Result<(), StoreError> {
-        while self.held.last().is_none_or(|last| last.number < batch.last) {
+    /// Reads the batch's entries.
+    fn load_entries(&mut self, batch: Batch) -> Result<(), StoreError> {
+        while self.entries.last().is_none_or(|last| last.number < batch.last) {
             match self.ledger.next()? {
-                Some(Record::Entry(entry)) if entry.number >= batch.first => self.held.push(*entry),
+                Some(Record::Entry(entry)) if entry.number >= batch.first => self.entries.push(*entry),
                 Some(_) => {}
                 None => break,
             }
@@ -139,20 +159,20 @@
         Ok(())
     }
 
-    /// Whether the sink says that it has the batch.
+    /// Sends the batch; returns whether the sink confirmed it.
     async fn send(&mut self, batch: Batch) -> bool {
         let name = batch.id(&self.router);
-        let body = Body { batch: name.clone(), router: &self.router, entries: &self.held };
+        let body = Body { batch: name.clone(), router: &self.router, entries: &self.entries };
         let Ok(body) = serde_json::to_vec(&body) else { return false };
         let uri = format!("http://{}{}", self.sink.address, self.sink.path);
-        let client = awc::Client::builder().timeout(ANSWER).disable_redirects().finish();
-        let asked = client.post(uri).insert_header((CONTENT_TYPE, "application/json")).send_body(body);
-        let said = match asked.await {
+        let client = awc::Client::builder().timeout(ANSWER_TIMEOUT).disable_redirects().finish();
+        let request = client.post(uri).insert_header((CONTENT_TYPE, "application/json")).send_body(body);
+        let reason = match request.await {
             Ok(answer) if answer.status().is_success() => return true,
             Ok(answer) => answer.status().to_string(),
             Err(error) => error.to_string(),
         };
-        tracing::warn!(batch = name, reason = said, "ledger export");
+        tracing::warn!(batch = name, reason, "ledger export failed; retrying");
         false
     }
 }
