--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! The parts of `fawnstream`, a router for language-model requests. `docs/architecture.md` says how they fit; the binary
-//! calls [`program::run`].
+//! The modules of `fawnstream`, a router for language-model requests. The program calls [`program::run`];
+//! `docs/architecture.md` describes how the modules work together.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/router/src/lifecycle.rs
+++ b/router/src/lifecycle.rs
@@ -1,31 +1,31 @@
-//! The router's life cycle: the one state machine that health calls, the operators' address, the listener and the
-//! signals ask. Which states there are and what leads from one to another stands in [`Phase::next`] alone.
+//! The router's life cycle: a state machine shared by health checks, the operators' address, the listeners and the
+//! signal handlers. [`Phase::next`] defines all transitions.
 
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// Where in its life the router is.
+/// A state of the life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It cannot serve yet; `drained`: an operator drained it already.
+    /// Not ready to serve yet.
     Starting {
-        /// It goes on to standby, not to active.
+        /// An operator drained the router already, so that standby follows instead of active.
         drained: bool,
     },
-    /// It takes clients.
+    /// Serves clients.
     Active,
-    /// An operator drained it: what came is served, clients are sent away.
+    /// Drained by an operator: requests that have arrived are served, client connections are closed.
     Standby,
-    /// It was told to end.
+    /// Shutting down after SIGTERM.
     Stopping,
 }
 
-/// What can happen to it.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It can serve.
+    /// The router can serve.
     Ready,
-    /// An operator drains it.
+    /// An operator drains the router.
     Drain,
     /// An operator ends the drain.
     Resume,
@@ -34,12 +34,12 @@
 }
 
 impl Phase {
-    /// The phase that follows; `None` where the event makes no sense. An event that changes nothing is allowed, so
-    /// that operators may repeat a call.
+    /// The phase after an event; `None` if the event is not allowed. Events that change nothing are allowed, so that
+    /// operators may repeat a call.
     pub fn next(self, event: Event) -> Option<Phase> {
         match (self, event) {
             (_, Event::Stop) => Some(Phase::Stopping),
-            // It ends, and takes nobody any more.
+            // A shutdown cannot be undone.
             (Phase::Stopping, Event::Resume) => None,
             (Phase::Stopping, Event::Drain | Event::Ready) => Some(Phase::Stopping),
             (Phase::Starting { drained: false }, Event::Ready) => Some(Phase::Active),
@@ -52,17 +52,17 @@
         }
     }
 
-    /// Clients are taken and asked to stay.
+    /// Clients are accepted and their connections kept alive.
     pub fn accepts_clients(self) -> bool {
         self == Phase::Active
     }
 
-    /// Clients are sent away: answers close their connections, and those without a request end.
+    /// Client connections are drained: they close after the answer to their request, or without one if they are idle.
     pub fn is_draining(self) -> bool {
         matches!(self, Phase::Standby | Phase::Stopping)
     }
 
-    /// For the log and the operators.
+    /// Name in the log and in operators' answers.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Starting { .. } => "starting",
@@ -73,50 +73,49 @@
     }
 }
 
-/// The router's phase, and since when it holds.
+/// The router's current phase, and since when it has held.
 pub struct Lifecycle {
     phase: watch::Sender<(Phase, Instant)>,
 }
 
 impl Default for Lifecycle {
-    /// A router that starts.
     fn default() -> Self {
         Lifecycle { phase: watch::Sender::new((Phase::Starting { drained: false }, Instant::now())) }
     }
 }
 
 impl Lifecycle {
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.borrow().0
     }
 
-    /// Since when clients are sent away, if they are.
+    /// Since when client connections are drained, if they are.
     pub fn draining_since(&self) -> Option<Instant> {
         let (phase, since) = *self.phase.borrow();
         phase.is_draining().then_some(since)
     }
 
-    /// Something happened. False if it makes no sense in this phase.
+    /// Applies an event. False if the event is not allowed in this phase.
     pub fn apply(&self, event: Event) -> bool {
-        let now = self.phase();
-        let Some(next) = now.next(event) else { return false };
+        let before = self.phase();
+        let Some(next) = before.next(event) else { return false };
         self.phase.send_if_modified(|(phase, since)| {
             let changed = *phase != next;
-            // From standby to stopping clients have been sent away already.
+            // Draining began with standby already.
             if changed && !(phase.is_draining() && next.is_draining()) {
                 *since = Instant::now();
             }
             *phase = next;
             changed
         });
-        if next != now {
-            crate::log!("life phase={} before={}", next.name(), now.name());
+        if next != before {
+            crate::log!("life phase={} before={}", next.name(), before.name());
         }
         true
     }
 
-    /// To hear of the next change.
+    /// Subscribes to phase changes.
     pub fn subscribe(&self) -> watch::Receiver<(Phase, Instant)> {
         self.phase.subscribe()
     }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `fawnstream`: a router for language-model requests, on sockets.
+//! The `fawnstream` program: a router for language-model requests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -16,8 +16,8 @@
 }
 
 fn run() -> Result<(), RunError> {
-    // Taken over before anything else is opened.
-    let told = std::env::var("PROXY_FD").ok().filter(|fd| !fd.is_empty());
-    let inherited = told.map(|fd| fawnstream_inherit::listener(&fd)).transpose()?;
+    // Taken over before any other descriptor is opened.
+    let inherited_fd = std::env::var("PROXY_FD").ok().filter(|fd| !fd.is_empty());
+    let inherited = inherited_fd.map(|fd| fawnstream_inherit::listener(&fd)).transpose()?;
     actix_rt::System::new().block_on(program::run(inherited))
 }
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -1,4 +1,4 @@
-//! One router from its start to its end: reads the configuration, starts the parts, follows the signals.
+//! Runs one router: reads the configuration, starts all parts, handles signals and shuts down.
 
 use crate::clients::{self, STILL_OPEN, Shared, openai, platform, websocket};
 use crate::config::{self, Config};
@@ -10,140 +10,155 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// A router whose list names no servers that can serve takes clients after this time all the same: it refuses them,
-/// which is better than to leave them waiting.
-const STARTING: Duration = Duration::from_secs(4);
-/// SIGKILL follows SIGTERM no sooner than the longest time that a client waits, counted as this much where it is
-/// longer, and 0.7 s: streams that are still open then go to the next process in that last part.
-const KILLED: Duration = Duration::from_secs(3);
-/// What is held has so much more than the settings say, on sockets: releases have this time.
-const HELD_MORE: Duration = Duration::from_millis(300);
-/// When the wait for answers under way is over, requests that still wait are failed, and their answers have this time to
-/// go out.
-const FAILURES_SENT: Duration = Duration::from_secs(1);
+/// A router without servers that can serve accepts clients after this time all the same. It refuses their requests,
+/// which is better than leaving them waiting.
+const MAX_START_WAIT: Duration = Duration::from_secs(4);
+/// Longest time from SIGTERM to the hand-over of open streams. SIGKILL follows SIGTERM after the longest time that a
+/// client waits, counted as this much where it is longer, plus 0.7 s in which streams are handed over.
+const MAX_HANDOVER_DELAY: Duration = Duration::from_secs(3);
+/// Grace for releasing a lease beyond the time in the settings, since releases over sockets take time.
+const RELEASE_GRACE: Duration = Duration::from_millis(300);
+/// Requests that are still open after the stop timeout are failed; this is the time to send those answers.
+const FAILURE_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the program ends with a failure.
+/// Why the router failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The configuration cannot be read, or makes no sense.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] config::ConfigError),
-    /// The settings are out of their bounds.
+    /// A setting is out of bounds.
     #[error(transparent)]
     Settings(#[from] shedrelay::SettingsError),
     /// The usage ledger cannot be opened.
     #[error("ledger: {0}")]
     Usage(#[from] usage::UsageError),
-    /// The inherited socket cannot be taken over.
+    /// The inherited socket cannot be used.
     #[error("PROXY_FD: {0}")]
     Inherit(#[from] fawnstream_inherit::InheritError),
-    /// A socket or a signal cannot be had.
+    /// A socket or a signal handler cannot be set up.
     #[error("{what}: {error}")]
     Io {
-        /// What was wanted.
+        /// What was to be set up.
         what: String,
-        /// What went wrong.
+        /// The cause.
         error: std::io::Error,
     },
 }
 
-/// SIGHUP: the whole configuration is read and checked before anything of it holds. Guards against a file that
-/// is broken or half written: the settings stay as they were.
+/// Handles SIGHUP. The whole configuration is read and checked before any of it applies, so that a broken or
+/// half-written file changes nothing.
 fn reload(
     shared: &Shared,
     discovery: &watch::Sender<SocketAddr>,
     etcd: Option<&watch::Sender<config::etcd::Etcd>>,
 ) {
-    let (done, failed) = shared.reloads.get();
+    let (succeeded, failed) = shared.reloads.get();
     let config = match Config::reload(shared.inherited) {
         Ok(config) => config,
         Err(error) => {
-            shared.reloads.set((done, failed + 1));
+            shared.reloads.set((succeeded, failed + 1));
             return log!("reload kept=old reason=\"{error}\"");
         }
     };
-    shared.reloads.set((done + 1, failed));
-    let mut moved = swap(discovery, config.discovery);
-    if let (Some(live), Some(told)) = (&shared.live, config.websocket) {
-        live.reload(told);
+    shared.reloads.set((succeeded + 1, failed));
+    let mut moved = publish(discovery, config.discovery);
+    if let (Some(live), Some(settings)) = (&shared.live, config.websocket) {
+        live.reload(settings);
     }
-    if let (Some(etcd), Some(told)) = (etcd, config.etcd) {
-        moved |= swap(etcd, told);
+    if let (Some(etcd), Some(settings)) = (etcd, config.etcd) {
+        moved |= publish(etcd, settings);
     }
     log!("reload done discovery={} moved={moved}", config.discovery);
 }
 
-/// Tells a new value to who waits for it, if it is one.
-fn swap<T: PartialEq>(told: &watch::Sender<T>, new: T) -> bool {
-    told.send_if_modified(|old| {
+/// Publishes a value to its watchers if it differs from the current one; returns whether it did.
+fn publish<T: PartialEq>(watched: &watch::Sender<T>, new: T) -> bool {
+    watched.send_if_modified(|old| {
         let changed = *old != new;
         *old = new;
         changed
     })
 }
 
-/// Listens on an address of its own. Where two processes run at once during an upgrade (`beside`) both listen on it,
-/// and the old one stops first; elsewhere a second one is a mistake that the start shows.
-fn listen_beside(address: SocketAddr, beside: bool) -> std::io::Result<TcpListener> {
+/// Listens on an address that is not inherited. With `share_port`, two processes can listen on it at once during an
+/// upgrade, of which the old one stops first. Otherwise a second process fails at its start.
+fn bind_listener(address: SocketAddr, share_port: bool) -> std::io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    socket.set_reuse_port(beside)?;
+    socket.set_reuse_port(share_port)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
     socket.listen(1_024)?;
     TcpListener::from_std(socket.into())
 }
 
-/// Runs one router, on an inherited socket if there is one, until SIGTERM has been followed to its end.
+/// Runs one router until its shutdown after SIGTERM is complete, on an inherited socket if there is one.
 pub async fn run(inherited: Option<std::net::TcpListener>) -> Result<(), RunError> {
     let io = |what: String| move |error| RunError::Io { what, error };
-    // Taken first: a signal that nobody takes ends the program.
+    // Installed first: without a handler either signal would end the program.
     let mut hup = signal(SignalKind::hangup()).map_err(io("SIGHUP".to_owned()))?;
     let mut term = signal(SignalKind::terminate()).map_err(io("SIGTERM".to_owned()))?;
     let config = Config::load(inherited.is_some())?;
     let usage = match config.ledger {
-        Some(told) => {
+        Some(ledger) => {
             let routers = f64::from(config.settings.routers);
             let quotas: Vec<f64> = config.settings.tenants.iter().map(|t| t.quota_per_s / routers).collect();
-            Some(usage::UsageLedger::start(told, &config.name, &config.names, &quotas, inherited.is_some())?)
+            Some(usage::UsageLedger::start(
+                ledger,
+                &config.name,
+                &config.names,
+                &quotas,
+                inherited.is_some(),
+            )?)
         }
         None => None,
     };
-    let calls = fawnstream_fleet::discovery_calls::CallPacer::new(config.settings.routers, config.seed);
-    let manner = match config.settings.list_on_request {
+    let call_pacer = fawnstream_fleet::discovery_calls::CallPacer::new(config.settings.routers, config.seed);
+    let list_source = match config.settings.list_on_request {
         true => fawnstream_fleet::discovery_calls::ListSource::SharedService,
         false => fawnstream_fleet::discovery_calls::ListSource::LocalAgent,
     };
-    let terms = fawnstream_leases::LeaseConfig {
+    let lease_config = fawnstream_leases::LeaseConfig {
         release_within: Duration::from_nanos(config.connections.release_within.0),
-        grace: HELD_MORE,
+        grace: RELEASE_GRACE,
         close_arrives_within: servers::close_arrives_within(config.connections),
         max_concurrent_releases: config.release_sockets,
         seed: config.seed,
     };
-    let core = core::Core::new(config.settings, config.names, terms, config.seed, usage.clone())?;
+    let core = core::Core::new(config.settings, config.names, lease_config, config.seed, usage.clone())?;
     let inherits = inherited.is_some();
     let handover = handover::Handover::new(inherits);
-    let fleet =
-        servers::Fleet::new(core.clone(), config.connections, config.server_sockets, terms, handover.clone());
+    let fleet = servers::Fleet::new(
+        core.clone(),
+        config.connections,
+        config.server_sockets,
+        lease_config,
+        handover.clone(),
+    );
     core.connect(fleet.clone());
-    // Before the first list: it hears of the servers by its news.
-    let websocket = config.websocket.as_ref().map(|told| told.listen);
-    let live =
-        config.websocket.map(|told| live::Live::new(core.clone(), told, config.seed, config.websocket_bytes));
-    let from = config.known.as_ref().map_or(0, |known| known.revision);
+    // Created before the first list, because it learns of the servers from list updates.
+    let websocket = config.websocket.as_ref().map(|settings| settings.listen);
+    let live = config
+        .websocket
+        .map(|settings| live::Live::new(core.clone(), settings, config.seed, config.websocket_bytes));
+    let known_revision = config.known.as_ref().map_or(0, |known| known.revision);
     if let Some(known) = config.known {
         core.listed(known.update(None));
     }
-    let listed = core.clone();
-    let hear = move |update| listed.listed(update);
+    let list_core = core.clone();
+    let on_list = move |update| list_core.listed(update);
     let discovery = watch::Sender::new(config.discovery);
     let etcd = config.etcd.map(watch::Sender::new);
     match &etcd {
-        Some(told) => drop(actix_rt::spawn(list::etcd::follow(told.subscribe(), hear))),
-        None => {
-            drop(actix_rt::spawn(list::discovery::follow(discovery.subscribe(), from, calls, manner, hear)))
-        }
+        Some(settings) => drop(actix_rt::spawn(list::etcd::follow(settings.subscribe(), on_list))),
+        None => drop(actix_rt::spawn(list::discovery::follow(
+            discovery.subscribe(),
+            known_revision,
+            call_pacer,
+            list_source,
+            on_list,
+        ))),
     }
     let shared = Shared::new(core.clone(), live.clone(), config.client_sockets, config.body_bytes, inherits);
     let clients = shared.clone();
@@ -151,13 +166,13 @@
         actix_rt::spawn(clients::carried::write(clients.clone(), end, socket));
     };
     core.connect_bare(bare.clone());
-    // Bound before this process takes clients: the one before it is told to end from then on.
+    // Bound before this process accepts clients: from then on the previous process may be stopped.
     if let Some(listener) = handover.listen() {
-        let room = shared.clone();
+        let receiver = shared.clone();
         let take = move |carried| fleet.carry(carried, bare.clone());
-        actix_rt::spawn(handover::serve(listener, move || room.takes_over(), take));
+        actix_rt::spawn(handover::serve(listener, move || receiver.takes_over(), take));
     }
-    // First of all listeners: operators may ask, and drain, before there is a list.
+    // The first of all listeners: operators may check the state and drain before there is a list.
     if let Some(address) = config.mgmt {
         let at = |what: &str| io(format!("{what} on {address}"));
         let listener = TcpListener::bind(address).await.map_err(at("operators"))?;
@@ -172,37 +187,40 @@
     let listener = listener.map_err(io(format!("listening on {}", config.listen)))?;
     let listen = listener.local_addr().map_err(io("the listener".to_owned()))?;
     actix_rt::spawn(clients::serve(listener, shared.clone(), platform::front));
-    if let Some(told) = config.openai {
-        let listener =
-            TcpListener::bind(told.listen).await.map_err(io(format!("listening on {}", told.listen)))?;
+    if let Some(settings) = config.openai {
+        let listener = TcpListener::bind(settings.listen)
+            .await
+            .map_err(io(format!("listening on {}", settings.listen)))?;
         let listen = listener.local_addr().map_err(io("the listener".to_owned()))?;
-        let api = openai::Api::new(told, config.seed);
+        let api = openai::Api::new(settings, config.seed);
         let front = move |shared, request| openai::front(api.clone(), shared, request);
         actix_rt::spawn(clients::serve(listener, shared.clone(), front));
         log!("openai listen={listen}");
     }
     if let (Some(address), Some(live)) = (websocket, live) {
         let at = |what: &str| io(format!("{what} on {address}"));
-        let listener = listen_beside(address, inherits).map_err(at("listening"))?;
+        let listener = bind_listener(address, inherits).map_err(at("listening"))?;
         let listen = listener.local_addr().map_err(at("listening"))?;
-        let (follows, connect) = (shared.clone(), Duration::from_nanos(config.connections.connect.0));
-        let following = live.clone();
-        actix_rt::spawn(async move { following.run(&follows.life).await });
-        let of = shared.clone();
-        let front = move |request, wire| websocket::serve(live.clone(), of.clone(), connect, request, wire);
+        let (runner, connect_timeout) = (shared.clone(), Duration::from_nanos(config.connections.connect.0));
+        let running = live.clone();
+        actix_rt::spawn(async move { running.run(&runner.life).await });
+        let front_shared = shared.clone();
+        let front = move |request, wire| {
+            websocket::serve(live.clone(), front_shared.clone(), connect_timeout, request, wire)
+        };
         actix_rt::spawn(clients::serve_upgrades(listener, shared.clone(), websocket::plain, front));
         log!("websocket listen={listen}");
     }
     log!("started name={} listen={listen} discovery={} inherited={inherits}", config.name, config.discovery);
-    let ready = shared.clone();
+    let starting = shared.clone();
     actix_rt::spawn(async move {
         let able = async {
-            while !ready.core.able() {
+            while !starting.core.able() {
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = actix_rt::time::timeout(STARTING, able).await;
-        ready.life.apply(Event::Ready);
+        let _ = actix_rt::time::timeout(MAX_START_WAIT, able).await;
+        starting.life.apply(Event::Ready);
     });
 
     loop {
@@ -213,24 +231,28 @@
     }
     log!("stopping requests={} connections={}", core.busy(), shared.open());
     shared.life.apply(Event::Stop);
-    let late =
-        config.connections.longest_wait.map_or(KILLED, |wait| Duration::from_nanos(wait.0).min(KILLED));
+    let handover_delay = config
+        .connections
+        .longest_wait
+        .map_or(MAX_HANDOVER_DELAY, |wait| Duration::from_nanos(wait.0).min(MAX_HANDOVER_DELAY));
     actix_rt::spawn(async move {
-        actix_rt::time::sleep(late).await;
+        actix_rt::time::sleep(handover_delay).await;
         handover.begin();
     });
     actix_rt::time::sleep(STILL_OPEN).await;
-    let last = Instant::now() + config.stop_timeout;
+    let deadline = Instant::now() + config.stop_timeout;
     let requests_are_open = || shared.accepting() || shared.open() > 0 || core.busy() > 0;
     let under_way = || requests_are_open() || core.leases().0 > 0;
-    // Since when there have been no requests, but leases.
+    // Since when leases but no requests have been open.
     let mut only_leases_since = None;
-    while under_way() && Instant::now() < last {
+    while under_way() && Instant::now() < deadline {
         if requests_are_open() {
             only_leases_since = None;
-        } else if only_leases_since.get_or_insert_with(Instant::now).elapsed() > terms.release_time_limit() {
-            // What nobody has let go of in the rule's time is late, and "what a stopped instance left is freed some
-            // seconds later".
+        } else if only_leases_since.get_or_insert_with(Instant::now).elapsed()
+            > lease_config.release_time_limit()
+        {
+            // Leases past the release time limit are not waited for: servers free what a stopped router left behind
+            // some seconds later.
             log!("stopping leases={} reason=time-to-release-over", core.leases().0);
             break;
         }
@@ -238,8 +260,8 @@
     }
     if core.busy() > 0 {
         core.fail_all();
-        let last = Instant::now() + FAILURES_SENT;
-        while under_way() && Instant::now() < last {
+        let deadline = Instant::now() + FAILURE_ANSWER_TIMEOUT;
+        while under_way() && Instant::now() < deadline {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
     }
