--- a/router/build.rs
+++ b/router/build.rs
@@ -1,4 +1,5 @@
-//! New recordings are found when the tests are built: guards against a new one that is never played.
+//! Rebuilds the tests when a recording is added: the list of recordings is made at build time, so that a new one would
+//! not be played otherwise.
 
 fn main() {
     println!("cargo::rerun-if-changed=tests/exchanges");
--- a/router/src/headers.rs
+++ b/router/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields that the clients' side and the servers' side share.
+//! Header fields that both the client side and the server side use.
 
-/// By what servers know a repeat of a request; it passes unchanged.
+/// Identifies repeats of a request at servers; passed on unchanged.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
--- a/router/src/names.rs
+++ b/router/src/names.rs
@@ -1,13 +1,13 @@
-//! Numbers for names: the same at every router and after every restart, so that routers agree.
+//! Stable hashes of names (FNV-1a). Routers agree on them, also after a restart or an upgrade.
 
 use std::hash::Hasher as _;
 
-/// A number for a name.
+/// Hashes a name.
 pub fn hash(text: &str) -> u64 {
     hash_bytes(text.as_bytes())
 }
 
-/// The same for bytes.
+/// Hashes bytes; equal to [`hash`] for the same UTF-8 text.
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(bytes);
