--- a/router/tests/play.rs
+++ b/router/tests/play.rs
@@ -1,4 +1,4 @@
-//! Plays recorded byte exchanges against the started program. `docs/testing.md` says how a recording is written.
+//! Plays recorded byte exchanges (recordings) against the program. `docs/testing.md` describes their format.
 
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use rstest::rstest;
@@ -12,28 +12,30 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// How long a step waits for what it expects; only a failing test takes so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait of a step for what it expects; only a failing test takes this long.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A connection of a client, a server or an operator.
 struct Peer {
     stream: TcpStream,
-    seen: Vec<u8>,
+    /// Bytes received and not yet consumed by a step.
+    received: Vec<u8>,
 }
 
 impl Peer {
     fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-        Peer { stream, seen: Vec::new() }
+        Peer { stream, received: Vec::new() }
     }
 
     /// Reads once; false at the end of the connection.
     fn read(&mut self) -> bool {
-        let mut piece = [0; 4096];
-        match self.stream.read(&mut piece) {
+        let mut buffer = [0; 4096];
+        match self.stream.read(&mut buffer) {
             Ok(0) => false,
             Ok(size) => {
-                self.seen.extend_from_slice(&piece[..size]);
+                self.received.extend_from_slice(&buffer[..size]);
                 true
             }
             Err(error) => matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
@@ -41,19 +43,19 @@
     }
 }
 
-/// The length of the text at the start of `seen` that matches; `{*}` stands for any text within a line.
-fn matched(pattern: &str, seen: &str) -> Option<usize> {
+/// The length of the prefix of `text` that matches; `{*}` in a pattern matches any text within a line.
+fn match_prefix(pattern: &str, text: &str) -> Option<usize> {
     let Some((fixed, rest)) = pattern.split_once("{*}") else {
-        return seen.starts_with(pattern).then_some(pattern.len());
+        return text.starts_with(pattern).then_some(pattern.len());
     };
-    let line = seen.strip_prefix(fixed)?;
-    let ends = line.find(['\r', '\n']).unwrap_or(line.len());
-    let tries = (0..=ends).filter(|at| line.is_char_boundary(*at));
-    tries.into_iter().find_map(|at| Some(fixed.len() + at + matched(rest, &line[at..])?))
+    let line = text.strip_prefix(fixed)?;
+    let line_end = line.find(['\r', '\n']).unwrap_or(line.len());
+    let wildcard_ends = (0..=line_end).filter(|end| line.is_char_boundary(*end));
+    wildcard_ends.into_iter().find_map(|end| Some(fixed.len() + end + match_prefix(rest, &line[end..])?))
 }
 
-/// A message whose head's lines are in order, if it has a whole head: the program's libraries shuffle them.
-fn sorted(text: &str) -> Option<String> {
+/// Sorts the header fields of a message with a complete head, because the program's libraries shuffle them.
+fn sort_fields(text: &str) -> Option<String> {
     let (head, body) = text.split_once("\r\n\r\n")?;
     let (first, fields) = head.split_once("\r\n").unwrap_or((head, ""));
     if !first.contains("HTTP/1.1") {
@@ -64,16 +66,16 @@
     Some(format!("{first}\r\n{}\r\n\r\n{body}", fields.join("\r\n")))
 }
 
-/// A started program and its log.
+/// A running program and its log.
 #[derive(Default)]
-struct Running {
+struct RunningProgram {
     program: Option<Child>,
     log: Option<Receiver<String>>,
     lines: Vec<String>,
 }
 
-impl Running {
-    fn end(&mut self) {
+impl RunningProgram {
+    fn kill(&mut self) {
         if let Some(mut program) = self.program.take() {
             let _ = program.kill();
             let _ = program.wait();
@@ -81,23 +83,26 @@
     }
 }
 
-struct Stage {
-    running: Running,
-    /// The one that was started before, beside it.
-    other: Running,
-    /// The clients' socket, where the platform holds it.
-    door: TcpListener,
-    /// What two processes share. A short path: that of a Unix socket is no longer than 107 bytes.
-    shared: PathBuf,
+/// Everything that a recording acts on.
+struct TestBed {
+    /// The program that steps act on.
+    running: RunningProgram,
+    /// The program started before it, if both run.
+    other: RunningProgram,
+    /// The clients' socket for programs that inherit it.
+    inherited: TcpListener,
+    /// The folder that two programs share. Its path is short, because that of a Unix socket is limited to 107 bytes.
+    shared_folder: PathBuf,
     listeners: HashMap<String, TcpListener>,
-    /// Connections that take all places where a server listens.
+    /// Connections that fill a server's backlog.
     fillers: Vec<TcpStream>,
     peers: HashMap<String, Peer>,
     folder: PathBuf,
-    within: Option<Instant>,
+    /// Deadline of the next steps, after a `within` step.
+    deadline: Option<Instant>,
 }
 
-impl Stage {
+impl TestBed {
     fn new(name: &str) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&folder).unwrap();
@@ -105,50 +110,61 @@
         let listeners = ["d", "e", "r1", "r2", "w1", "w2"].map(listen).into();
         let peers = HashMap::new();
         let (running, other) = Default::default();
-        let door = TcpListener::bind("127.0.0.1:0").unwrap();
-        let shared = std::env::temp_dir().join(format!("fawnstream-{}-{name}", std::process::id()));
-        Stage { running, other, door, shared, listeners, fillers: Vec::new(), peers, folder, within: None }
+        let inherited = TcpListener::bind("127.0.0.1:0").unwrap();
+        let shared_folder = std::env::temp_dir().join(format!("fawnstream-{}-{name}", std::process::id()));
+        TestBed {
+            running,
+            other,
+            inherited,
+            shared_folder,
+            listeners,
+            fillers: Vec::new(),
+            peers,
+            folder,
+            deadline: None,
+        }
     }
 
-    /// Fills in the addresses of servers.
-    fn filled(&self, text: &str) -> String {
+    /// Replaces the placeholders for servers' addresses.
+    fn fill_addresses(&self, text: &str) -> String {
         self.listeners.iter().fold(text.to_owned(), |text, (name, listener)| {
             text.replace(&format!("{{{name}}}"), &listener.local_addr().unwrap().to_string())
         })
     }
 
-    /// A configuration: the usual one if none is told. `name=value` among the arguments changes it.
-    fn configured(&self, arguments: &str, body: &str) -> String {
-        let usual = include_str!("config.json");
-        let text = if body.is_empty() { self.filled(usual) } else { body.to_owned() };
+    /// The configuration in `body`, or the default one without a body. Each `name=value` among the arguments changes
+    /// it.
+    fn render_config(&self, arguments: &str, body: &str) -> String {
+        let default = include_str!("config.json");
+        let text = if body.is_empty() { self.fill_addresses(default) } else { body.to_owned() };
         let changes = arguments.split_whitespace().filter_map(|argument| argument.split_once('='));
         changes.fold(text, |text, (name, value)| {
-            let at = text.find(&format!("\"{name}\": ")).unwrap() + name.len() + 4;
-            let end = at + text[at..].find([',', '}']).unwrap();
-            format!("{}{}{}", &text[..at], self.filled(value), &text[end..])
+            let start = text.find(&format!("\"{name}\": ")).unwrap() + name.len() + 4;
+            let end = start + text[start..].find([',', '}']).unwrap();
+            format!("{}{}{}", &text[..start], self.fill_addresses(value), &text[end..])
         })
     }
 
     fn start(&mut self, arguments: &str, body: &str) {
         std::mem::swap(&mut self.running, &mut self.other);
         let (config, openai) = (self.folder.join("config.json"), self.folder.join("openai.toml"));
-        std::fs::write(&config, self.configured(arguments, body)).unwrap();
+        std::fs::write(&config, self.render_config(arguments, body)).unwrap();
         let models = include_str!("../../deploy/openai.toml").replace("127.0.0.1:8081", "127.0.0.1:0");
         std::fs::write(&openai, models).unwrap();
         let key = "[[key]]\nenv = \"FAWNSTREAM_KEY\"\ntenant = \"donaupay\"\n";
         let keys = self.folder.join("keys.toml");
         std::fs::write(&keys, std::fs::read_to_string(&openai).unwrap() + key).unwrap();
         let etcd = self.folder.join("etcd.toml");
-        std::fs::write(&etcd, self.filled("endpoint = \"{d}\"\nprefix = \"/s/\"\n")).unwrap();
-        let (ledger, usage) = (self.folder.join("ledger.toml"), self.shared.join("usage"));
-        let kept = include_str!("../../deploy/ledger.toml").split("[sink]").next().unwrap();
-        let kept = kept.replace("/var/lib/fawnstream/usage", usage.to_str().unwrap());
-        std::fs::write(&ledger, kept.replace("sync_ms = 200", "sync_ms = 5")).unwrap();
-        // `ulimit:N` among the arguments gives the program so many descriptors.
-        let few = arguments.split_whitespace().find_map(|argument| argument.strip_prefix("ulimit:"));
+        std::fs::write(&etcd, self.fill_addresses("endpoint = \"{d}\"\nprefix = \"/s/\"\n")).unwrap();
+        let (ledger, usage) = (self.folder.join("ledger.toml"), self.shared_folder.join("usage"));
+        let settings = include_str!("../../deploy/ledger.toml").split("[sink]").next().unwrap();
+        let settings = settings.replace("/var/lib/fawnstream/usage", usage.to_str().unwrap());
+        std::fs::write(&ledger, settings.replace("sync_ms = 200", "sync_ms = 5")).unwrap();
+        // The argument `ulimit:N` limits the program to N descriptors.
+        let max_fds = arguments.split_whitespace().find_map(|argument| argument.strip_prefix("ulimit:"));
         let mut command = Command::new("sh");
-        let limit = few.map_or_else(String::new, |few| format!("ulimit -n {few} && "));
-        // `fd:3`: the program inherits the clients' socket as this descriptor; `fd:9` is none.
+        let limit = max_fds.map_or_else(String::new, |max_fds| format!("ulimit -n {max_fds} && "));
+        // The argument `fd:3` lets the program inherit the clients' socket as this descriptor; `fd:9` names no socket.
         let fd = arguments.split_whitespace().find_map(|argument| argument.strip_prefix("fd:"));
         let inherit = fd.map_or("", |_| "exec 3<&0 0</dev/null && ");
         command.args([
@@ -161,11 +177,13 @@
             .env("PROXY_CONFIG", config)
             .env("FAWNSTREAM_KEY", "open sesame")
             .stderr(Stdio::piped())
-            .stdin(fd.map_or_else(Stdio::null, |_| OwnedFd::from(self.door.try_clone().unwrap()).into()));
+            .stdin(
+                fd.map_or_else(Stdio::null, |_| OwnedFd::from(self.inherited.try_clone().unwrap()).into()),
+            );
         command.envs(fd.map(|fd| ("PROXY_FD", fd)));
         if fd.is_some() {
-            std::fs::create_dir_all(&self.shared).unwrap();
-            command.env("TMPDIR", &self.shared);
+            std::fs::create_dir_all(&self.shared_folder).unwrap();
+            command.env("TMPDIR", &self.shared_folder);
         }
         command.args(arguments.split_whitespace().filter(|argument| !argument.contains(['=', ':'])).map(
             |word| match word {
@@ -177,20 +195,23 @@
             },
         ));
         let mut program = command.spawn().unwrap();
-        let (told, log) = channel();
+        let (sender, log) = channel();
         let stderr = BufReader::new(program.stderr.take().unwrap());
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| told.send(line)));
-        self.running = Running { program: Some(program), log: Some(log), lines: Vec::new() };
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
+        });
+        self.running = RunningProgram { program: Some(program), log: Some(log), lines: Vec::new() };
     }
 
-    /// Waits for a line of the log in which the pattern matches somewhere.
-    fn wait_log(&mut self, pattern: &str) -> String {
-        let found = |line: &&String| {
-            (0..=line.len()).any(|at| line.is_char_boundary(at) && matched(pattern, &line[at..]).is_some())
+    /// Waits for a log line that contains the pattern.
+    fn wait_for_log(&mut self, pattern: &str) -> String {
+        let matches = |line: &&String| {
+            (0..=line.len())
+                .any(|start| line.is_char_boundary(start) && match_prefix(pattern, &line[start..]).is_some())
         };
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + STEP_TIMEOUT;
         loop {
-            if let Some(line) = self.running.lines.iter().find(found) {
+            if let Some(line) = self.running.lines.iter().find(matches) {
                 return line.clone();
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -201,19 +222,20 @@
         }
     }
 
-    /// What the log has said so far.
+    /// All log lines so far.
     fn all_lines(&mut self) -> &[String] {
-        let Running { log, lines, .. } = &mut self.running;
+        let RunningProgram { log, lines, .. } = &mut self.running;
         lines.extend(log.as_ref().unwrap().try_iter());
         lines
     }
 
+    /// The connection of this name. A new one is accepted for a server's name, and opened otherwise.
     fn peer(&mut self, name: &str) -> &mut Peer {
         if !self.peers.contains_key(name) {
             let server = name.split('.').next().unwrap();
             let peer = if let Some(listener) = self.listeners.get(server) {
                 listener.set_nonblocking(true).unwrap();
-                let until = Instant::now() + PATIENCE;
+                let until = Instant::now() + STEP_TIMEOUT;
                 let stream = loop {
                     match listener.accept() {
                         Ok((stream, _)) => break stream,
@@ -225,12 +247,12 @@
                 stream.set_nonblocking(false).unwrap();
                 Peer::new(stream)
             } else {
-                let front = match name.as_bytes()[0] {
+                let listen_line = match name.as_bytes()[0] {
                     b'o' => "openai listen=",
                     b'm' => "operators listen=",
                     _ => "started {*}listen=",
                 };
-                let line = self.wait_log(front);
+                let line = self.wait_for_log(listen_line);
                 let address = line.split("listen=").nth(1).unwrap().split(' ').next().unwrap().to_owned();
                 Peer::new(TcpStream::connect(address).unwrap())
             };
@@ -239,23 +261,23 @@
         self.peers.get_mut(name).unwrap()
     }
 
-    /// Until when a step waits.
-    fn until(&self) -> Instant {
-        self.within.unwrap_or_else(|| Instant::now() + PATIENCE)
+    /// The deadline of a step that begins now.
+    fn step_deadline(&self) -> Instant {
+        self.deadline.unwrap_or_else(|| Instant::now() + STEP_TIMEOUT)
     }
 
     fn step(&mut self, verb: &str, rest: &str, body: &str) {
         match verb {
             "start" => self.start(rest, body),
-            "log" => drop(self.wait_log(rest)),
-            // Something stands where processes meet.
+            "log" => drop(self.wait_for_log(rest)),
+            // A file is in the way of the hand-over socket.
             "litter" => {
-                std::fs::create_dir_all(&self.shared).unwrap();
-                std::fs::write(self.shared.join("fawnstream.handover"), "left by nobody").unwrap();
+                std::fs::create_dir_all(&self.shared_folder).unwrap();
+                std::fs::write(self.shared_folder.join("fawnstream.handover"), "left by nobody").unwrap();
             }
-            // Somebody is ready to take a stream over, and then does not.
+            // A process that is ready to receive a stream, and then declines it.
             "impostor" => {
-                let path = self.shared.join("fawnstream.handover");
+                let path = self.shared_folder.join("fawnstream.handover");
                 let _ = std::fs::remove_file(&path);
                 let listener = UnixListener::bind(path).unwrap();
                 std::thread::spawn(move || {
@@ -265,29 +287,29 @@
                     }
                 });
             }
-            // The steps that follow are about the other one of two programs.
+            // The next steps act on the other one of two programs.
             "swap" => std::mem::swap(&mut self.running, &mut self.other),
-            // Operators find this figure, soon.
+            // Operators can read this metric soon.
             "figure" => {
-                let (wanted, until) = (format!("router_{rest}"), self.until());
+                let (wanted, until) = (format!("router_{rest}"), self.step_deadline());
                 loop {
                     self.peers.remove("metrics");
                     let peer = self.peer("metrics");
                     peer.stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
                     while peer.read() {}
-                    let seen = String::from_utf8(std::mem::take(&mut peer.seen)).unwrap();
-                    if seen.lines().any(|line| line == wanted) {
+                    let metrics = String::from_utf8(std::mem::take(&mut peer.received)).unwrap();
+                    if metrics.lines().any(|line| line == wanted) {
                         break;
                     }
-                    assert!(Instant::now() < until, "wanted {wanted}, got\n{seen}");
+                    assert!(Instant::now() < until, "wanted {wanted}, got\n{metrics}");
                     std::thread::sleep(Duration::from_millis(20));
                 }
             }
             "once" => {
-                self.wait_log(rest);
+                self.wait_for_log(rest);
                 let lines = self.all_lines();
-                let times = lines.iter().filter(|line| line.contains(rest)).count();
-                assert_eq!(times, 1, "`{rest}` in\n{}", lines.join("\n"));
+                let count = lines.iter().filter(|line| line.contains(rest)).count();
+                assert_eq!(count, 1, "`{rest}` in\n{}", lines.join("\n"));
             }
             "never" => {
                 let lines = self.all_lines();
@@ -301,7 +323,7 @@
             }
             "close" => drop(self.peers.remove(rest)),
             "shut" => drop(self.listeners.remove(rest)),
-            // Connections to it never come up, as to a machine that was cut off.
+            // Connections to this server are never established, as to an unreachable machine.
             "deaf" => {
                 let listener = &self.listeners[rest];
                 let (address, socket) = (listener.local_addr().unwrap(), socket2::SockRef::from(listener));
@@ -309,7 +331,7 @@
                 let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(100));
                 self.fillers.extend(std::iter::from_fn(|| fill().ok()));
             }
-            // They come up from here on.
+            // Connections to this server are established again.
             "heed" => {
                 let listener = &self.listeners[rest];
                 listener.set_nonblocking(true).unwrap();
@@ -318,19 +340,19 @@
                 socket2::SockRef::from(listener).listen(128).unwrap();
                 self.fillers.clear();
             }
-            // The program has begun to connect there.
+            // The program has begun to connect to this server.
             "dialling" => {
                 let port = self.listeners[rest].local_addr().unwrap().port();
-                let until = self.until();
-                // Of /proc/net/tcp: a connection to this port in the state SYN_SENT.
+                let until = self.step_deadline();
+                // An entry of /proc/net/tcp: a connection to this port in the state SYN_SENT.
                 let wanted = format!("0100007F:{port:04X} 02");
                 while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&wanted) {
-                    assert!(Instant::now() < until, "{rest}: nobody connects");
+                    assert!(Instant::now() < until, "{rest}: no connection attempt");
                     std::thread::sleep(Duration::from_millis(2));
                 }
             }
             "pause" => std::thread::sleep(Duration::from_millis(rest.parse().unwrap())),
-            // `freeze` and `thaw`: what happens between them meets the program all at once.
+            // Everything that happens between `freeze` and `thaw` reaches the program at once.
             "term" | "hup" | "freeze" | "thaw" => {
                 let id = self.running.program.as_ref().unwrap().id().to_string();
                 let signal = match verb {
@@ -342,13 +364,13 @@
                 assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
             }
             "etcd" => {
-                let text = format!("endpoint = \"{}\"\nprefix = \"/s/\"\n", self.filled(rest));
+                let text = format!("endpoint = \"{}\"\nprefix = \"/s/\"\n", self.fill_addresses(rest));
                 std::fs::write(self.folder.join("etcd.toml"), text).unwrap();
             }
-            // A new configuration in place of the old one, put there whole.
+            // Replaces the configuration atomically.
             "config" => {
                 let (new, config) = (self.folder.join("config.new"), self.folder.join("config.json"));
-                std::fs::write(&new, self.configured(rest, body)).unwrap();
+                std::fs::write(&new, self.render_config(rest, body)).unwrap();
                 std::fs::rename(new, config).unwrap();
             }
             "exit" => {
@@ -362,37 +384,40 @@
                 self.peer(rest).stream.write_all(body.as_bytes()).unwrap();
             }
             "take" => {
-                // A whole request, whatever it says.
-                let until = Instant::now() + PATIENCE;
+                // Consumes a complete request, whatever its content.
+                let until = Instant::now() + STEP_TIMEOUT;
                 let peer = self.peer(rest);
                 loop {
-                    let seen = String::from_utf8(peer.seen.clone()).unwrap();
+                    let received = String::from_utf8(peer.received.clone()).unwrap();
                     let size =
-                        seen.split_once("content-length: ").and_then(|(_, size)| size.split_once("\r\n"));
-                    let body = seen.find("\r\n\r\n").map(|at| at + 4);
+                        received.split_once("content-length: ").and_then(|(_, size)| size.split_once("\r\n"));
+                    let body = received.find("\r\n\r\n").map(|at| at + 4);
                     if let (Some((size, _)), Some(body)) = (size, body) {
-                        let whole = body + size.parse::<usize>().unwrap();
-                        if seen.len() >= whole {
-                            peer.seen.drain(..whole);
+                        let total = body + size.parse::<usize>().unwrap();
+                        if received.len() >= total {
+                            peer.received.drain(..total);
                             return;
                         }
                     }
-                    assert!(peer.read() && Instant::now() < until, "{rest}: wanted a request, got\n{seen}");
+                    assert!(
+                        peer.read() && Instant::now() < until,
+                        "{rest}: wanted a request, got\n{received}"
+                    );
                 }
             }
             "half" => self.peer(rest).stream.shutdown(Shutdown::Write).unwrap(),
-            // What the next steps wait for comes in this time.
+            // Deadline of the next steps.
             "within" => {
-                self.within = Some(Instant::now() + Duration::from_millis(rest.parse().unwrap()));
+                self.deadline = Some(Instant::now() + Duration::from_millis(rest.parse().unwrap()));
             }
-            // So many connections that say nothing.
+            // Opens this many connections that send nothing.
             "crowd" => {
                 let (name, count) = rest.split_once(' ').unwrap();
                 for n in 1..=count.parse().unwrap() {
                     self.peer(&format!("{name}{n}"));
                 }
             }
-            // So many bytes, while what comes back is read.
+            // Sends this many bytes, until the connection breaks.
             "flood" => {
                 let (name, count) = rest.split_once(' ').unwrap();
                 let (peer, piece) = (self.peer(name), [b'x'; 4096]);
@@ -404,7 +429,7 @@
                     }
                 }
             }
-            // So many events of 32 KiB, one a chunk, as fast as the program takes them, while the next steps go on.
+            // Sends this many events of 32 KiB, one per chunk, in the background.
             "pour" => {
                 let (name, count) = rest.split_once(' ').unwrap();
                 let event = format!("data: {{\"x\":\"{}\"}}\n\n", "x".repeat(32 * 1024));
@@ -413,42 +438,46 @@
                 let mut stream = self.peer(name).stream.try_clone().unwrap();
                 std::thread::spawn(move || (0..count).all(|_| stream.write_all(chunk.as_bytes()).is_ok()));
             }
-            // So many bytes come, whatever they say.
+            // Receives this many bytes, whatever their content.
             "drink" => {
                 let (name, count) = rest.split_once(' ').unwrap();
-                let (until, mut left) = (self.until(), count.parse().unwrap());
+                let (until, mut left) = (self.step_deadline(), count.parse().unwrap());
                 let peer = self.peer(name);
                 while left > 0 {
-                    assert!(peer.read() && Instant::now() < until, "{name}: {left} bytes did not come");
-                    left -= peer.seen.len().min(left);
-                    peer.seen.clear();
+                    assert!(peer.read() && Instant::now() < until, "{name}: {left} bytes are missing");
+                    left -= peer.received.len().min(left);
+                    peer.received.clear();
                 }
             }
             "end" | "hears" => {
-                let until = self.until();
+                let until = self.step_deadline();
                 let peer = self.peer(rest);
                 while peer.read() {
                     assert!(Instant::now() < until, "{rest}: the connection stays open");
                 }
-                let left = String::from_utf8_lossy(&peer.seen);
-                assert!(left.is_empty(), "{rest}: more came: {left}");
+                let left = String::from_utf8_lossy(&peer.received);
+                assert!(left.is_empty(), "{rest}: unexpected bytes: {left}");
                 if verb == "end" {
                     self.peers.remove(rest);
                 }
             }
             "get" => {
-                let until = self.until();
-                let wanted = sorted(body).unwrap_or_else(|| body.to_owned());
+                let until = self.step_deadline();
+                let wanted = sort_fields(body).unwrap_or_else(|| body.to_owned());
                 let peer = self.peer(rest);
                 loop {
-                    let seen = String::from_utf8(peer.seen.clone()).unwrap();
-                    let head = if sorted(body).is_some() { sorted(&seen) } else { Some(seen.clone()) };
-                    if let Some(size) = head.and_then(|seen| matched(&wanted, &seen)) {
-                        peer.seen.drain(..size);
+                    let received = String::from_utf8(peer.received.clone()).unwrap();
+                    let message = if sort_fields(body).is_some() {
+                        sort_fields(&received)
+                    } else {
+                        Some(received.clone())
+                    };
+                    if let Some(size) = message.and_then(|message| match_prefix(&wanted, &message)) {
+                        peer.received.drain(..size);
                         return;
                     }
                     let open = peer.read();
-                    assert!(open && Instant::now() < until, "{rest}: wanted\n{wanted}\ngot\n{seen}");
+                    assert!(open && Instant::now() < until, "{rest}: wanted\n{wanted}\ngot\n{received}");
                 }
             }
             other => panic!("no such step: {other}"),
@@ -456,21 +485,21 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestBed {
     fn drop(&mut self) {
         if std::thread::panicking() && self.running.log.is_some() {
             println!("the log:\n{}", self.all_lines().join("\n"));
         }
-        self.running.end();
-        self.other.end();
-        let _ = std::fs::remove_dir_all(&self.shared);
+        self.running.kill();
+        self.other.kill();
+        let _ = std::fs::remove_dir_all(&self.shared_folder);
     }
 }
 
-/// The bytes that a line of a recording stands for.
-fn bytes(line: &str) -> String {
-    let escaped = |text: &str| {
-        // `<<text>>` is text in base64.
+/// The bytes that a line of a recording represents.
+fn decode_line(line: &str) -> String {
+    let unescape = |text: &str| {
+        // `<<text>>` stands for the text in base64.
         let mut text = text.replace("\\n", "\n").replace("{cr}", "\r");
         while let Some((before, (plain, after))) =
             text.split_once("<<").and_then(|(b, r)| Some((b, r.split_once(">>")?)))
@@ -481,56 +510,57 @@
     };
     match line.split_at_checked(1) {
         Some(("|", text)) => format!("{}\r\n", text.strip_prefix(' ').unwrap_or(text)),
-        Some((":", text)) => escaped(text.strip_prefix(' ').unwrap_or(text)),
+        Some((":", text)) => unescape(text.strip_prefix(' ').unwrap_or(text)),
         Some(("c", text)) => {
-            let text = escaped(text.strip_prefix(' ').unwrap_or(text));
+            let text = unescape(text.strip_prefix(' ').unwrap_or(text));
             format!("{:X}\r\n{text}\r\n", text.len())
         }
-        Some(("C", text)) => format!("{{*}}\r\n{}\r\n", escaped(text.strip_prefix(' ').unwrap_or(text))),
+        Some(("C", text)) => format!("{{*}}\r\n{}\r\n", unescape(text.strip_prefix(' ').unwrap_or(text))),
         Some(("z", _)) => "0\r\n\r\n".to_owned(),
         _ => panic!("no such line: {line}"),
     }
 }
 
-/// Plays a recording, with these words in place of those in braces; gives the program's final outcomes.
-fn play_file(path: &Path, name: &str, words: &[(&str, &str)]) -> Vec<String> {
+/// Plays a recording with these values for the placeholders in braces. Returns the log's final outcomes of requests.
+fn play_recording(path: &Path, name: &str, words: &[(&str, &str)]) -> Vec<String> {
     let text = std::fs::read_to_string(path).unwrap();
     let text = words.iter().fold(text, |text, (word, value)| text.replace(&format!("{{{word}}}"), value));
-    let common = include_str!("exchanges/common.inc").split("\n== ").skip(1);
-    let named: HashMap<&str, &str> = common.filter_map(|part| part.split_once('\n')).collect();
-    let mut stage = Stage::new(name);
+    let parts = include_str!("exchanges/common.inc").split("\n== ").skip(1);
+    let shared_steps: HashMap<&str, &str> = parts.filter_map(|part| part.split_once('\n')).collect();
+    let mut bed = TestBed::new(name);
     let mut steps: Vec<(String, String, String)> = Vec::new();
-    let mut read = |line: &str| {
+    let mut read_line = |line: &str| {
         if line.is_empty() || line.starts_with('#') {
             return;
         }
-        let mark = line.split(' ').next().unwrap();
-        if ["|", ":", "c", "C", "z"].contains(&mark) {
-            steps.last_mut().unwrap().2.push_str(&bytes(&stage.filled(line)));
+        let prefix = line.split(' ').next().unwrap();
+        if ["|", ":", "c", "C", "z"].contains(&prefix) {
+            steps.last_mut().unwrap().2.push_str(&decode_line(&bed.fill_addresses(line)));
         } else {
             let (verb, rest) = line.split_once(' ').unwrap_or((line, ""));
             steps.push((verb.to_owned(), rest.to_owned(), String::new()));
         }
     };
     for line in text.lines() {
-        // `use NAME a=b ...`: lines from the common file, with these words in place of {a}.
+        // `use NAME a=b ...` inserts shared steps from the common file, with `b` for each {a}.
         let Some(call) = line.strip_prefix("use ") else {
-            read(line);
+            read_line(line);
             continue;
         };
-        let mut told = call.split(' ');
-        let name = told.next().unwrap();
-        let part = named.get(name).unwrap_or_else(|| panic!("no `{name}`")).to_string();
-        let told = told.filter_map(|word| word.split_once('='));
-        told.fold(part, |part, (word, value)| part.replace(&format!("{{{word}}}"), &value.replace('~', " ")))
+        let mut words = call.split(' ');
+        let name = words.next().unwrap();
+        let part = shared_steps.get(name).unwrap_or_else(|| panic!("no `{name}`")).to_string();
+        let replacements = words.filter_map(|word| word.split_once('='));
+        replacements
+            .fold(part, |part, (word, value)| part.replace(&format!("{{{word}}}"), &value.replace('~', " ")))
             .lines()
-            .for_each(&mut read);
+            .for_each(&mut read_line);
     }
     for (verb, rest, body) in steps {
-        let rest = stage.filled(&rest);
-        stage.step(&verb, &rest, &body);
+        let rest = bed.fill_addresses(&rest);
+        bed.step(&verb, &rest, &body);
     }
-    let outcomes = stage.running.lines.iter().filter(|line| line.contains(" outcome="));
+    let outcomes = bed.running.lines.iter().filter(|line| line.contains(" outcome="));
     let tail =
         |line: &String| line[line.find("class=").unwrap()..line.find(" first_ms=").unwrap()].to_owned();
     outcomes.map(tail).collect()
@@ -538,13 +568,13 @@
 
 #[rstest]
 fn play(#[files("tests/exchanges/*.txt")] path: PathBuf) {
-    play_file(&path, path.file_stem().unwrap().to_str().unwrap(), &[]);
+    play_recording(&path, path.file_stem().unwrap().to_str().unwrap(), &[]);
 }
 
 #[rstest]
 fn fronts_agree(#[files("tests/exchanges/both/*.txt")] path: PathBuf) {
-    let platform = play_file(&path, "platform", &[("f", ""), ("c", "a")]);
-    let openai = play_file(&path, "openai", &[("f", "o"), ("c", "o")]);
+    let platform = play_recording(&path, "platform", &[("f", ""), ("c", "a")]);
+    let openai = play_recording(&path, "openai", &[("f", "o"), ("c", "o")]);
     assert!(!platform.is_empty());
     assert_eq!(platform, openai);
 }
