--- a/router/tests/accept_error.rs
+++ b/router/tests/accept_error.rs
@@ -1,24 +1,24 @@
-//! What failed accepts ask for.
+//! Classification of errors of `accept`.
 
 use fawnstream::clients::accept_error::AcceptError;
 use std::io;
 
 #[test]
-fn only_a_process_without_descriptors_calls_for_room() {
-    let of = |code| AcceptError::of(&io::Error::from_raw_os_error(code));
-    assert_eq!(of(libc::EMFILE), AcceptError::Exhausted);
+fn only_emfile_is_exhaustion() {
+    let classify = |code| AcceptError::of(&io::Error::from_raw_os_error(code));
+    assert_eq!(classify(libc::EMFILE), AcceptError::Exhausted);
     for code in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EBADF] {
-        assert_eq!(of(code), AcceptError::Shortage, "{code}");
+        assert_eq!(classify(code), AcceptError::Shortage, "{code}");
     }
     for code in
         [libc::ECONNABORTED, libc::EPROTO, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::EINTR, libc::EPERM]
     {
-        assert_eq!(of(code), AcceptError::Connection, "{code}");
+        assert_eq!(classify(code), AcceptError::Connection, "{code}");
     }
 }
 
 #[test]
-fn what_does_not_pass_at_once_is_waited_for() {
+fn waits_for_shortages_but_not_for_connection_errors() {
     assert_eq!(AcceptError::Connection.wait(), None);
     assert!(AcceptError::Shortage.wait() < AcceptError::Exhausted.wait());
 }
--- a/router/tests/customers.rs
+++ b/router/tests/customers.rs
@@ -1,14 +1,14 @@
-//! Other customers: nothing in the program knows a class, a customer, a zone or a kind by its name, how many there are, or
-//! that an optional figure is told.
+//! Configurations of other customers: the program assumes no names or numbers of classes, tenants, zones and kinds,
+//! and no optional values.
 
 mod standins;
 
 use serde_json::{Value, json};
-use standins::{READ, RELEASED, answer, serve};
+use standins::{READ, RELEASED, start_server, stream_answer};
 use std::process::{Command, Output, Stdio};
 
-/// A configuration of a customer with so many classes; servers of the kinds `wolf` and `fox` in zones of their own.
-fn customer(classes: usize, reader: &str, writer: &str) -> Value {
+/// A configuration with this many classes, and servers of the kinds `wolf` and `fox` in a zone each.
+fn customer_config(classes: usize, reader: &str, writer: &str) -> Value {
     let class = |n: usize| {
         let effect = if n.is_multiple_of(2) { "pure" } else { "side_effect" };
         json!({"name": format!("klasse {n}"), "effect": effect, "aim": 5_000_000_000u64, "worth": 1.0 + n as f64})
@@ -40,37 +40,38 @@
 }
 
 #[test]
-fn customers_with_other_names_and_numbers_of_classes_are_served() {
-    let reader = serve(|head, _| Some(if head.starts_with("DELETE") { RELEASED } else { READ }.to_owned()));
-    let writer = serve(|_, _| Some(answer("{\"choices\":[]}")));
+fn serves_any_class_names_and_counts() {
+    let reader =
+        start_server(|head, _| Some(if head.starts_with("DELETE") { RELEASED } else { READ }.to_owned()));
+    let writer = start_server(|_, _| Some(stream_answer("{\"choices\":[]}")));
     for classes in [1, 2, 40] {
         let folder = tempfile::tempdir().unwrap();
-        let config = customer(classes, &reader.to_string(), &writer.to_string());
-        let router = standins::begin(command(&config, &folder), "customer");
+        let config = customer_config(classes, &reader.to_string(), &writer.to_string());
+        let router = standins::start_router(command(&config, &folder), "customer");
         for class in [0, classes - 1] {
             let class = format!("klasse {class}");
-            let answer = router.ask(7, 8, &class, "Müller & Söhne", "9", "{\"model\":\"m\"}");
+            let answer = router.request(7, 8, &class, "Müller & Söhne", "9", "{\"model\":\"m\"}");
             assert!(answer.starts_with("HTTP/1.1 200"), "{classes} classes, {class}: {answer}");
         }
-        let unknown = router.ask(9, 8, "log-chat", "Müller & Söhne", "9", "{\"model\":\"m\"}");
-        assert!(unknown.starts_with("HTTP/1.1 400"), "a class that this customer has not: {unknown}");
+        let unknown = router.request(9, 8, "log-chat", "Müller & Söhne", "9", "{\"model\":\"m\"}");
+        assert!(unknown.starts_with("HTTP/1.1 400"), "a class that is not configured: {unknown}");
     }
 }
 
-/// What is wrong is said in one line, and the program ends with a code other than 0.
+/// An invalid configuration is reported in one line, and the exit code is not 0.
 #[test]
-fn a_broken_configuration_is_one_line_and_a_failure() {
+fn invalid_configuration_fails_with_one_line() {
     type Change = fn(&mut Value);
-    let broken: [(&str, Change); 5] = [
-        ("no classes told", |config| _ = config["settings"].as_object_mut().unwrap().remove("classes")),
-        ("another duty", |config| config["settings"]["extra"]["duty_by_kind"][0] = json!("dig")),
+    let invalid: [(&str, Change); 5] = [
+        ("no classes", |config| _ = config["settings"].as_object_mut().unwrap().remove("classes")),
+        ("an unknown duty", |config| config["settings"]["extra"]["duty_by_kind"][0] = json!("dig")),
         ("one duty too few", |config| config["settings"]["extra"]["duty_by_kind"] = json!(["read"])),
         ("a negative aim", |config| config["settings"]["classes"][0]["aim"] = json!(-1)),
-        ("another mode", |config| config["settings"]["registry_mode"] = json!("guessed")),
+        ("an unknown mode", |config| config["settings"]["registry_mode"] = json!("guessed")),
     ];
-    for (what, change) in broken {
+    for (what, change) in invalid {
         let folder = tempfile::tempdir().unwrap();
-        let mut config = customer(2, "127.0.0.1:9", "127.0.0.1:9");
+        let mut config = customer_config(2, "127.0.0.1:9", "127.0.0.1:9");
         change(&mut config);
         let Output { status, stderr, .. } = command(&config, &folder).output().unwrap();
         let said = String::from_utf8(stderr).unwrap();
--- a/router/tests/large.rs
+++ b/router/tests/large.rs
@@ -1,23 +1,23 @@
-//! The largest bodies: on both fronts the largest legal one passes whole and one byte more is refused with a clear word;
-//! and many of them at once stay far within the memory of a small machine.
+//! Request bodies of the largest size: each API passes the largest allowed body on and refuses one more byte with a
+//! clear message; many such bodies at once stay within the memory of a small machine.
 
 mod standins;
 
-use standins::{BothFronts, READ, RELEASED, answer, both_fronts, serve};
+use standins::{BothFronts, READ, RELEASED, start_both_fronts, start_server, stream_answer};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-const LARGEST: usize = 256 * 1024;
-/// The longest prompt that operators told of, in tokens of four characters.
+const MAX_BODY: usize = 256 * 1024;
+/// The longest prompt that operators reported, in tokens of four characters.
 const LONGEST_PROMPT: usize = 61_671;
 
-/// A router with one reader and one writer that answer all, the reader after a while; `largest` is the largest body that
-/// the reader got.
+/// Starts a router with one reader and one writer. The reader answers after `read_ms`; `largest` is the size of the
+/// largest body that it received.
 fn start(largest: Arc<AtomicUsize>, read_ms: u64) -> BothFronts {
-    let reader = serve(move |head, body| {
+    let reader = start_server(move |head, body| {
         if head.starts_with("DELETE") {
             return Some(RELEASED.to_owned());
         }
@@ -25,11 +25,13 @@
         std::thread::sleep(Duration::from_millis(read_ms));
         Some(READ.to_owned())
     });
-    let writer = serve(|_, _| Some(answer("{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"ab\"}}]}")));
-    both_fronts(reader, writer)
+    let writer = start_server(|_, _| {
+        Some(stream_answer("{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"ab\"}}]}"))
+    });
+    start_both_fronts(reader, writer)
 }
 
-/// A body of exactly this size.
+/// A valid body of exactly this size.
 fn body(size: usize) -> String {
     let (before, after) = (
         "{\"model\":\"log-chat\",\"messages\":[{\"role\":\"user\",\"content\":\"",
@@ -38,8 +40,8 @@
     format!("{before}{}{after}", "x".repeat(size - before.len() - after.len()))
 }
 
-/// The whole answer.
-fn ask(at: SocketAddr, id: usize, body: &str) -> String {
+/// Sends a request; returns the whole answer.
+fn request(at: SocketAddr, id: usize, body: &str) -> String {
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id:016x}\r\nX-Call-Class: log-chat\r\n\
          X-Caller: donaupay\r\nX-Route-Hash: {id:016x}\r\nX-Budget: 12\r\n\
@@ -47,8 +49,8 @@
         body.len()
     );
     let mut stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(standins::PATIENCE)).unwrap();
-    // The router may refuse by the length alone and take the rest as it comes.
+    stream.set_read_timeout(Some(standins::STEP_TIMEOUT)).unwrap();
+    // The router may refuse the body by its length, so that writing the rest fails.
     let _ = stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes()));
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
@@ -56,34 +58,34 @@
 }
 
 #[test]
-fn the_largest_legal_body_passes_both_fronts_and_one_byte_more_is_refused() {
+fn passes_largest_body_and_refuses_larger_one() {
     let largest = Arc::new(AtomicUsize::new(0));
     let router = start(largest.clone(), 0);
-    const { assert!(LONGEST_PROMPT * 4 < LARGEST, "the longest prompt fits") };
+    const { assert!(LONGEST_PROMPT * 4 < MAX_BODY, "the longest prompt fits") };
     for (n, front) in [router.platform, router.openai].into_iter().enumerate() {
         largest.store(0, Ordering::SeqCst);
-        let answer = ask(front, 1 + n, &body(LARGEST));
+        let answer = request(front, 1 + n, &body(MAX_BODY));
         assert!(answer.starts_with("HTTP/1.1 200"), "front {n}: {answer}");
-        assert!(largest.load(Ordering::SeqCst) >= LARGEST - 100, "front {n}: it came whole");
-        let refused = ask(front, 11 + n, &body(LARGEST + 1));
+        assert!(largest.load(Ordering::SeqCst) >= MAX_BODY - 100, "front {n}: the body was cut");
+        let refused = request(front, 11 + n, &body(MAX_BODY + 1));
         assert!(refused.starts_with("HTTP/1.1 413"), "front {n}: {refused}");
         assert!(refused.contains("larger than 256 KiB"), "front {n}: {refused}");
     }
 }
 
-/// 200 of the largest bodies are read at once, on a machine that is told 192 MB: all are served or refused, some are
-/// served, and the process never had more than that.
+/// 200 of the largest bodies at once, with 192 MB configured: each request is served or refused, some are served, and
+/// the process never uses more memory.
 #[test]
-fn many_of_the_largest_bodies_at_once_stay_within_the_memory_told() {
+fn many_large_bodies_stay_within_configured_memory() {
     let router = start(Arc::default(), 1_500);
-    let text = body(LARGEST);
+    let text = body(MAX_BODY);
     let answers: Vec<String> = std::thread::scope(|scope| {
-        let asked: Vec<_> = (0..200).map(|n| (n, &router, &text)).collect();
-        let asked: Vec<_> = asked
+        let requests: Vec<_> = (0..200).map(|n| (n, &router, &text)).collect();
+        let requests: Vec<_> = requests
             .into_iter()
-            .map(|(n, router, text)| scope.spawn(move || ask(router.platform, 100 + n, text)))
+            .map(|(n, router, text)| scope.spawn(move || request(router.platform, 100 + n, text)))
             .collect();
-        asked.into_iter().map(|asked| asked.join().unwrap()).collect()
+        requests.into_iter().map(|request| request.join().unwrap()).collect()
     });
     let served = answers.iter().filter(|answer| answer.starts_with("HTTP/1.1 200")).count();
     let refused = answers.iter().filter(|answer| answer.starts_with("HTTP/1.1 503")).count();
--- a/router/tests/leases.rs
+++ b/router/tests/leases.rs
@@ -1,9 +1,9 @@
-//! What is held at servers, counted by stand-ins that fall silent in the middle of reads; and lists of 1,024 servers told
-//! to one of 1,024 routers.
+//! Leases at servers that fall silent during reads, counted by fake servers; and a list of 1,024 servers at one of
+//! 1,024 routers.
 
 mod standins;
 
-use standins::{PATIENCE, READ, RELEASED, Router, answer, begin, chunk, serve};
+use standins::{READ, RELEASED, Router, STEP_TIMEOUT, chunk, start_router, start_server, stream_answer};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,21 +14,21 @@
 
 const NO_STATE: &str = "HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// What all servers hold: since when, by request.
-type Held = Arc<Mutex<HashMap<String, Instant>>>;
+/// State that servers hold for requests, by request id, and since when.
+type HeldStates = Arc<Mutex<HashMap<String, Instant>>>;
 
-/// The request that a message is about.
-fn id(head: &str) -> String {
+/// The id of the request that a message belongs to.
+fn request_id(head: &str) -> String {
     let field = head
         .lines()
         .find_map(|line| line.to_ascii_lowercase().strip_prefix("x-call-id: ").map(str::to_owned));
     field.unwrap_or_else(|| head.split([' ', '/']).nth(4).unwrap_or_default().to_owned())
 }
 
-/// A server that reads or writes. Once it is `silent` it takes what comes, does it, and says nothing.
-fn server(reads: bool, held: Held, silent: Arc<AtomicBool>) -> SocketAddr {
-    serve(move |head, _| {
-        let id = id(head);
+/// Starts a reader or a writer. While `silent` is set, it executes what it receives and does not answer.
+fn start_worker(reads: bool, held: HeldStates, silent: Arc<AtomicBool>) -> SocketAddr {
+    start_server(move |head, _| {
+        let id = request_id(head);
         if head.starts_with("DELETE") {
             if !silent.load(Ordering::SeqCst) {
                 held.lock().unwrap().remove(&id);
@@ -38,20 +38,20 @@
             std::thread::sleep(Duration::from_millis(15));
             held.lock().unwrap().insert(id, Instant::now());
         } else {
-            let taken = held.lock().unwrap().remove(&id).is_some();
+            let had_state = held.lock().unwrap().remove(&id).is_some();
             if !silent.load(Ordering::SeqCst) {
-                return Some(if taken { answer("{\"choices\":[]}") } else { NO_STATE.to_owned() });
+                return Some(if had_state { stream_answer("{\"choices\":[]}") } else { NO_STATE.to_owned() });
             }
         }
         if silent.load(Ordering::SeqCst) {
-            std::thread::sleep(PATIENCE);
+            std::thread::sleep(STEP_TIMEOUT);
             return None;
         }
         Some(READ.to_owned())
     })
 }
 
-/// A list in discovery's form.
+/// A server list in discovery's format.
 fn list(revision: u64, complete: bool, members: &[(String, SocketAddr, bool, &str)]) -> String {
     let entry = |(id, at, reads, phase): &(String, SocketAddr, bool, &str)| {
         let kind = if *reads { "reads" } else { "writes" };
@@ -61,7 +61,7 @@
     format!("{{\"revision\":{revision},\"complete\":{complete},\"members\":[{}]}}", members.join(","))
 }
 
-/// Starts a router that knows this list; `change` changes its configuration.
+/// Starts a router with this known list; `change` modifies its configuration.
 fn start(
     discovery: SocketAddr,
     known: &str,
@@ -75,133 +75,137 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_fawnstream"));
     command.env_clear().env("PROXY_CONFIG", folder.path().join("config.json"));
     command.stdin(Stdio::null()).stderr(Stdio::piped());
-    (begin(command, "router"), folder)
+    (start_router(command, "router"), folder)
 }
 
-/// Half of the readers and of the writers fall silent in the middle of reads, and stay so. Whatever their clients are
-/// told, in the end nothing is held for anybody: others pass the releases on.
+/// Half of the readers and writers fall silent during reads for good. All state must be released in the end, because
+/// other servers forward the releases.
 #[test]
-fn nothing_stays_held_where_half_of_the_servers_fall_silent() {
-    let (held, silent) = (Held::default(), Arc::new(AtomicBool::new(false)));
-    let never = Arc::new(AtomicBool::new(false));
+fn releases_all_leases_when_half_of_servers_fall_silent() {
+    let (held, silent) = (HeldStates::default(), Arc::new(AtomicBool::new(false)));
+    let never_silent = Arc::new(AtomicBool::new(false));
     let members: Vec<_> = (0..16)
         .map(|n| {
-            let silent = if n % 4 < 2 { silent.clone() } else { never.clone() };
-            (format!("s{n}"), server(n % 2 == 0, held.clone(), silent), n % 2 == 0, "active")
+            let silent = if n % 4 < 2 { silent.clone() } else { never_silent.clone() };
+            (format!("s{n}"), start_worker(n % 2 == 0, held.clone(), silent), n % 2 == 0, "active")
         })
         .collect();
     let known = list(1, true, &members);
-    let nobody = "127.0.0.1:9".parse().unwrap();
+    let no_discovery = "127.0.0.1:9".parse().unwrap();
     let (router, _folder) =
-        start(nobody, &known, |text| text.replace("\"max_attempts\": 3", "\"max_attempts\": 6"));
-    let ended = std::thread::scope(|scope| {
-        let asked: Vec<_> = (0..80u64)
+        start(no_discovery, &known, |text| text.replace("\"max_attempts\": 3", "\"max_attempts\": 6"));
+    let answers = std::thread::scope(|scope| {
+        let requests: Vec<_> = (0..80u64)
             .map(|n| {
                 let router = &router;
                 let class = ["quick", "log-chat", "book-device"][(n % 3) as usize];
                 scope.spawn(move || {
                     std::thread::sleep(Duration::from_millis(n * 10));
-                    router.ask(n + 1, n, class, "donaupay", "2.5", "{}")
+                    router.request(n + 1, n, class, "donaupay", "2.5", "{}")
                 })
             })
             .collect();
         std::thread::sleep(Duration::from_millis(300));
         silent.store(true, Ordering::SeqCst);
-        asked.into_iter().map(|asked| asked.join().unwrap()).collect::<Vec<String>>()
+        requests.into_iter().map(|request| request.join().unwrap()).collect::<Vec<String>>()
     });
-    let served = ended.iter().filter(|answer| answer.ends_with("\r\n0\r\n\r\n")).count();
-    assert!(served >= 25, "{served} of {} served", ended.len());
-    assert!(ended.iter().all(|answer| !answer.is_empty()), "each has its final answer");
-    let until = Instant::now() + PATIENCE;
-    while router.figure("router_holds") > 0 {
-        assert!(Instant::now() < until, "the router still holds something");
+    let served = answers.iter().filter(|answer| answer.ends_with("\r\n0\r\n\r\n")).count();
+    assert!(served >= 25, "{served} of {} served", answers.len());
+    assert!(answers.iter().all(|answer| !answer.is_empty()), "a request got no answer");
+    let until = Instant::now() + STEP_TIMEOUT;
+    while router.metric("router_holds") > 0 {
+        assert!(Instant::now() < until, "the router still has leases");
         std::thread::sleep(Duration::from_millis(20));
     }
     let left = held.lock().unwrap();
-    assert!(left.is_empty(), "{} of {} are still held: {left:?}", left.len(), ended.len());
-    assert_eq!(router.figure("router_holds_late"), 0);
+    assert!(left.is_empty(), "{} of {} are still held: {left:?}", left.len(), answers.len());
+    assert_eq!(router.metric("router_holds_late"), 0);
 }
 
-/// Tells lists to a router that watches, and tells them anew to one that watches anew.
+/// A fake discovery that sends lists to the router's watch, and the latest list to each new watch.
 struct Discovery {
     address: SocketAddr,
-    now: Arc<Mutex<(String, Option<TcpStream>)>>,
+    /// The latest list, and the connection of the open watch.
+    current: Arc<Mutex<(String, Option<TcpStream>)>>,
 }
 
 impl Discovery {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, now) =
+        let (address, current) =
             (listener.local_addr().unwrap(), Arc::<Mutex<(String, Option<TcpStream>)>>::default());
-        let told = now.clone();
+        let shared = current.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                standins::message(&mut BufReader::new(stream.try_clone().unwrap()));
-                let mut told = told.lock().unwrap();
+                standins::read_message(&mut BufReader::new(stream.try_clone().unwrap()));
+                let mut current = shared.lock().unwrap();
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let _ = stream.write_all(format!("{head}{}", chunk(&format!("{}\n", told.0))).as_bytes());
-                told.1 = Some(stream);
+                let _ = stream.write_all(format!("{head}{}", chunk(&format!("{}\n", current.0))).as_bytes());
+                current.1 = Some(stream);
             }
         });
-        Discovery { address, now }
+        Discovery { address, current }
     }
 
-    fn tell(&self, list: String) {
-        let mut now = self.now.lock().unwrap();
-        now.0 = list;
-        let text = chunk(&format!("{}\n", now.0));
-        if let Some(stream) = &mut now.1 {
+    fn send(&self, list: String) {
+        let mut current = self.current.lock().unwrap();
+        current.0 = list;
+        let text = chunk(&format!("{}\n", current.0));
+        if let Some(stream) = &mut current.1 {
             let _ = stream.write_all(text.as_bytes());
         }
     }
 }
 
-/// The most memory that a process ever had, in MB.
-fn memory(router: &Router) -> u64 {
+/// The peak memory of a router's process in MB.
+fn peak_memory_mb(router: &Router) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", router.child.id())).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     line.trim().trim_end_matches(" kB").parse::<u64>().unwrap() / 1024
 }
 
-/// 1,024 servers, and settings that tell of 1,024 routers: it starts, serves, takes a whole new list, drains half of it,
-/// and its memory stays small. Some servers share an address here, so that the test needs few descriptors.
+/// With 1,024 servers and settings for 1,024 routers, a router starts, serves, takes over a completely new list and a
+/// drain of half of it, and its memory stays small. Several servers share an address, to need fewer descriptors.
 #[test]
-fn a_thousand_servers_and_a_thousand_routers() {
+fn serves_with_a_thousand_servers_and_routers() {
     const SIZE: usize = 1_024;
-    let (held, never) = (Held::default(), Arc::new(AtomicBool::new(false)));
-    let at: Vec<SocketAddr> = (0..32).map(|n| server(n % 2 == 0, held.clone(), never.clone())).collect();
+    let (held, never_silent) = (HeldStates::default(), Arc::new(AtomicBool::new(false)));
+    let addresses: Vec<SocketAddr> =
+        (0..32).map(|n| start_worker(n % 2 == 0, held.clone(), never_silent.clone())).collect();
     let members = |name: &str, size: usize| -> Vec<_> {
-        (0..size).map(|n| (format!("{name}-{n}"), at[n % at.len()], n % 2 == 0, "active")).collect()
+        (0..size)
+            .map(|n| (format!("{name}-{n}"), addresses[n % addresses.len()], n % 2 == 0, "active"))
+            .collect()
     };
     let discovery = Discovery::start();
     let first = list(1, true, &members("a", SIZE));
-    discovery.tell(first.clone());
+    discovery.send(first.clone());
     let (router, _folder) = start(discovery.address, &first, |text| {
         let text = text.replace("\"balancers\": 1,", &format!("\"balancers\": {SIZE},"));
         text.replace("\"self_index\": 0", &format!("\"self_index\": {}", SIZE - 1))
     });
-    let started = memory(&router);
-    let serve = |from: u64| {
+    let started_mb = peak_memory_mb(&router);
+    let assert_serves = |from: u64| {
         for n in from..from + 60 {
-            let answer = router.ask(n, n, "log-chat", "donaupay", "9", "{}");
+            let answer = router.request(n, n, "log-chat", "donaupay", "9", "{}");
             assert!(answer.ends_with("\r\n0\r\n\r\n"), "{n}: {answer}");
         }
     };
-    router.wait("router_targets", SIZE as u64);
-    serve(1);
-    // All are replaced at once, by some more.
+    router.wait_for_metric("router_targets", SIZE as u64);
+    assert_serves(1);
+    // All servers are replaced at once by slightly more.
     let all = SIZE + 32;
-    discovery.tell(list(2, true, &members("b", all)));
-    router.wait("router_targets", all as u64);
-    serve(1_001);
+    discovery.send(list(2, true, &members("b", all)));
+    router.wait_for_metric("router_targets", all as u64);
+    assert_serves(1_001);
     let mut half = members("b", SIZE / 2);
     half.iter_mut().for_each(|member| member.3 = "leaving");
-    discovery.tell(list(3, false, &half));
-    router.wait("router_targets_disabled", SIZE as u64 / 2);
-    serve(2_001);
-    assert_eq!(router.figure("router_targets"), all as u64);
-    let most = memory(&router);
-    println!("memory: {started} MB with the first list, {most} MB at most");
-    assert!(most < 40, "{most} MB");
+    discovery.send(list(3, false, &half));
+    router.wait_for_metric("router_targets_disabled", SIZE as u64 / 2);
+    assert_serves(2_001);
+    assert_eq!(router.metric("router_targets"), all as u64);
+    let peak_mb = peak_memory_mb(&router);
+    println!("memory: {started_mb} MB with the first list, {peak_mb} MB at most");
+    assert!(peak_mb < 40, "{peak_mb} MB");
     assert!(held.lock().unwrap().is_empty());
 }
--- a/router/tests/ledger.rs
+++ b/router/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The usage ledger under kills: routers with stand-in servers and a sink that fails, killed at random moments while
-//! they export. What the sink got and what the disks hold, reconciled, is what the servers wrote, to the token.
+//! The usage ledger when routers are killed at random moments while they export to a sink that fails at times. The
+//! batches at the sink and the files on disk must each reconcile to exactly the tokens that the fake servers reported.
 
 mod standins;
 
@@ -7,7 +7,7 @@
 use fawnstream_ledger::reconcile::{MergedLedgers, Reconciliation};
 use fawnstream_ledger::store::read_all;
 use rstest::rstest;
-use standins::{Chance, PATIENCE, Router, begin, chunk, serve};
+use standins::{Random, Router, STEP_TIMEOUT, chunk, start_router, start_server};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,16 +18,16 @@
 const JOIN_MS: u64 = 60_000;
 const TENANTS: [&str; 2] = ["donaupay", "murtal-mobil"];
 
-/// What a prompt of this number costs.
-fn cost(number: u64) -> (i64, i64) {
+/// Prompt tokens and written tokens of the prompt with this number.
+fn token_counts(number: u64) -> (i64, i64) {
     (100 + (number % 37) as i64, 5 + (number * 7 % 23) as i64)
 }
 
 fn start(folder: &PathBuf, name: &str, servers: [SocketAddr; 2], sink: SocketAddr) -> Router {
-    begin(command(folder, name, servers, sink, "", true), name)
+    start_router(command(folder, name, servers, sink, "", true), name)
 }
 
-/// A router's command line; `before` runs in its shell first.
+/// A router's command; `before` runs first in its shell.
 fn command(
     folder: &PathBuf,
     name: &str,
@@ -37,11 +37,11 @@
     ledger_on: bool,
 ) -> Command {
     std::fs::create_dir_all(folder).unwrap();
-    let [reads, writes] = servers;
+    let [reader, writer] = servers;
     let text = include_str!("config.json")
         .replace("{d}", "127.0.0.1:9")
-        .replace("{r1}", &reads.to_string())
-        .replace("{w1}", &writes.to_string())
+        .replace("{r1}", &reader.to_string())
+        .replace("{w1}", &writer.to_string())
         .replace("\"n0\"", &format!("\"{name}\""))
         .replace(
             "[{\"name\": \"donaupay\", \"quota_per_s\": 100.0}]",
@@ -63,27 +63,27 @@
     command
 }
 
-/// Asks for one prompt; whether its answer came whole.
-fn ask(router: &Router, id: u64, number: u64) -> bool {
+/// Sends a request with the prompt of this number; returns whether its answer was complete.
+fn request(router: &Router, id: u64, number: u64) -> bool {
     let tenant = TENANTS[(number % 2) as usize];
     let body = format!("{{\"model\":\"m\",\"number\":{number}}}");
-    router.ask(id, number, "log-chat", tenant, "9", &body).ends_with("\r\n0\r\n\r\n")
+    router.request(id, number, "log-chat", tenant, "9", &body).ends_with("\r\n0\r\n\r\n")
 }
 
-/// A reader and a writer.
-fn servers(breaks: impl Fn() -> bool + Send + Sync + 'static) -> [SocketAddr; 2] {
-    let reads = serve(|first, _| {
-        Some(match first.starts_with("DELETE") {
+/// Starts a reader and a writer, which breaks an answer when `breaks` says so.
+fn start_servers(breaks: impl Fn() -> bool + Send + Sync + 'static) -> [SocketAddr; 2] {
+    let reader = start_server(|head, _| {
+        Some(match head.starts_with("DELETE") {
             true => "HTTP/1.1 204 No Content\r\n\r\n".to_owned(),
             false => "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":12}".to_owned(),
         })
     });
-    let writes = serve(move |first, body| {
-        if first.starts_with("DELETE") {
+    let writer = start_server(move |head, body| {
+        if head.starts_with("DELETE") {
             return Some("HTTP/1.1 204 No Content\r\n\r\n".to_owned());
         }
         let body: serde_json::Value = serde_json::from_slice(body).ok()?;
-        let (prompt, written) = cost(body["number"].as_u64()?);
+        let (prompt, written) = token_counts(body["number"].as_u64()?);
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         let event = chunk("data: {\"choices\":[]}\n\n");
         let usage = format!(
@@ -93,153 +93,157 @@
         let end = if breaks() { "5\r\nx\r\n" } else { "" };
         Some(format!("{head}{event}{end}{}{}0\r\n\r\n", chunk(&usage), chunk("data: [DONE]\n\n")))
     });
-    [reads, writes]
+    [reader, writer]
 }
 
-/// Batches by name, as a sink keeps them.
+/// The sink's batches by name, each with its router.
 type Batches = Arc<Mutex<BTreeMap<String, (String, Vec<Entry>)>>>;
 
 #[rstest]
-fn killed_while_they_export(#[values(11, 12, 13)] seed: u64) {
-    killed(seed);
+fn reconciles_after_kills_during_export(#[values(11, 12, 13)] seed: u64) {
+    kill_during_export(seed);
 }
 
-/// The same for longer: `cargo test --release -p fawnstream --test ledger -- --ignored many_kills`.
+/// The same test with more seeds: `cargo test --release -p fawnstream --test ledger -- --ignored many_kills`.
 #[test]
 #[ignore = "takes minutes"]
 fn many_kills() {
-    (1_000..1_040).for_each(killed);
+    (1_000..1_040).for_each(kill_during_export);
 }
 
-fn killed(seed: u64) {
+fn kill_during_export(seed: u64) {
     println!("seed {seed}");
-    let chance = Arc::new(Mutex::new(Chance(seed)));
+    let random = Arc::new(Mutex::new(Random(seed)));
     let folder = tempfile::tempdir().unwrap();
-    // Some answers break off; the others are what is to be billed.
-    let breaks = chance.clone();
-    let servers = servers(move || breaks.lock().unwrap().below(8) == 0);
-    // A sink that removes repeats by name, says no at times, and at times has a batch and does not say so.
+    // Broken answers must not be billed.
+    let breaks = random.clone();
+    let servers = start_servers(move || breaks.lock().unwrap().below(8) == 0);
+    // The sink drops repeats by name. It rejects some batches, and accepts others without an answer.
     let batches = Batches::default();
-    let (has, fails) = (batches.clone(), chance.clone());
-    let sink = serve(move |_, body| {
+    let (stored, sink_random) = (batches.clone(), random.clone());
+    let sink = start_server(move |_, body| {
         let body: serde_json::Value = serde_json::from_slice(body).unwrap();
         let (batch, router) =
             (body["batch"].as_str().unwrap().to_owned(), body["router"].as_str().unwrap().to_owned());
         let entries: Vec<Entry> = serde_json::from_value(body["entries"].clone()).unwrap();
-        let fate = fails.lock().unwrap().below(4);
+        let fate = sink_random.lock().unwrap().below(4);
         std::thread::sleep(Duration::from_millis(fate * 3));
         if fate == 0 {
             return Some("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".to_owned());
         }
-        let mut has = has.lock().unwrap();
-        let known = has.entry(batch).or_insert_with(|| (router, entries.clone()));
+        let mut stored = stored.lock().unwrap();
+        let known = stored.entry(batch).or_insert_with(|| (router, entries.clone()));
         assert_eq!(known.1, entries, "one name, two batches");
         (fate != 1).then(|| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned())
     });
     let names = ["n0", "n1"];
     let folders = names.map(|name| folder.path().join(name));
-    let begin = |at: usize| start(&folders[at], names[at], servers, sink);
-    let mut routers = [begin(0), begin(1)];
-    let mut truth: HashMap<&str, (i64, i64)> = HashMap::new();
+    let start_one = |index: usize| start(&folders[index], names[index], servers, sink);
+    let mut routers = [start_one(0), start_one(1)];
+    let mut expected: HashMap<&str, (i64, i64)> = HashMap::new();
     let (mut id, mut number, mut entries) = (0, 0, [0u64; 2]);
     for _ in 0..4 {
-        let mut asked = [0; 2];
+        let mut sent = [0; 2];
         for _ in 0..24 {
             number += 1;
-            // A try that broke goes to the other router, and some ask once more though they were served.
-            let mut at = chance.lock().unwrap().below(2) as usize;
-            let mut again = chance.lock().unwrap().below(6) == 0;
+            // A broken request is repeated at the other router, and some clients repeat a request that was served.
+            let mut target = random.lock().unwrap().below(2) as usize;
+            let mut repeats_served = random.lock().unwrap().below(6) == 0;
             loop {
                 id += 1;
-                asked[at] += 1;
-                let served = ask(&routers[at], id, number);
-                at = 1 - at;
-                if served && !std::mem::take(&mut again) {
+                sent[target] += 1;
+                let served = request(&routers[target], id, number);
+                target = 1 - target;
+                if served && !std::mem::take(&mut repeats_served) {
                     break;
                 }
             }
-            let sum = truth.entry(TENANTS[(number % 2) as usize]).or_default();
-            let (prompt, written) = cost(number);
+            let sum = expected.entry(TENANTS[(number % 2) as usize]).or_default();
+            let (prompt, written) = token_counts(number);
             (sum.0, sum.1) = (sum.0 + prompt, sum.1 + written);
         }
-        for at in 0..2 {
-            entries[at] += asked[at];
-            routers[at].wait("router_ledger_entries", asked[at]);
+        for index in 0..2 {
+            entries[index] += sent[index];
+            routers[index].wait_for_metric("router_ledger_entries", sent[index]);
         }
-        // Killed at any moment of the export, and started again from what the disk has.
-        for (at, router) in routers.iter_mut().enumerate() {
-            std::thread::sleep(Duration::from_millis(chance.lock().unwrap().below(60)));
+        // Kill each router at a random moment of its export, and restart it from its files.
+        for (index, router) in routers.iter_mut().enumerate() {
+            std::thread::sleep(Duration::from_millis(random.lock().unwrap().below(60)));
             router.child.kill().unwrap();
             router.child.wait().unwrap();
-            *router = begin(at);
+            *router = start_one(index);
         }
     }
-    let until = Instant::now() + PATIENCE;
-    let sent = || batches.lock().unwrap().values().map(|(_, entries)| entries.len() as u64).sum::<u64>();
-    while sent() < entries.iter().sum() {
-        assert!(Instant::now() < until, "the sink has {} of {entries:?}", sent());
+    let until = Instant::now() + STEP_TIMEOUT;
+    let exported_entries =
+        || batches.lock().unwrap().values().map(|(_, entries)| entries.len() as u64).sum::<u64>();
+    while exported_entries() < entries.iter().sum() {
+        assert!(Instant::now() < until, "the sink has {} of {entries:?}", exported_entries());
         std::thread::sleep(Duration::from_millis(10));
     }
     drop(routers);
-    let account = |merged: &MergedLedgers| -> (Reconciliation, HashMap<&str, (i64, i64)>) {
-        let account = merged.reconcile(JOIN_MS);
+    let reconcile = |merged: &MergedLedgers| -> (Reconciliation, HashMap<&str, (i64, i64)>) {
+        let reconciliation = merged.reconcile(JOIN_MS);
         let mut sums: HashMap<&str, (i64, i64)> = HashMap::new();
-        for ((_, tenant), line) in &account.totals {
+        for ((_, tenant), line) in &reconciliation.totals {
             let sum = sums.entry(TENANTS.into_iter().find(|name| name == tenant).unwrap()).or_default();
             for part in [line.within, line.beyond] {
                 (sum.0, sum.1) = (sum.0 + part.prompt, sum.1 + part.written);
             }
         }
-        (account, sums)
+        (reconciliation, sums)
     };
-    let (mut exported, mut kept) = (MergedLedgers::default(), MergedLedgers::default());
+    let (mut exported, mut on_disk) = (MergedLedgers::default(), MergedLedgers::default());
     for (router, entries) in batches.lock().unwrap().values() {
         exported.add(router, entries.iter().cloned().map(|entry| Record::Entry(Box::new(entry))));
     }
-    for at in 0..2 {
+    for index in 0..2 {
         let mut records: Vec<Record> = Vec::new();
-        read_all(&folders[at].join("usage"), "usage", |record| records.push(record)).unwrap();
-        kept.add(names[at], records);
+        read_all(&folders[index].join("usage"), "usage", |record| records.push(record)).unwrap();
+        on_disk.add(names[index], records);
     }
-    let ((exported, sums), (kept, on_disk)) = (account(&exported), account(&kept));
-    assert_eq!(exported, kept);
-    assert_eq!((&sums, &on_disk), (&truth, &truth));
-    // No entry is missing, none came twice, and what came beyond a share stands apart.
+    let ((exported, exported_sums), (on_disk, disk_sums)) = (reconcile(&exported), reconcile(&on_disk));
+    assert_eq!(exported, on_disk);
+    assert_eq!((&exported_sums, &disk_sums), (&expected, &expected));
+    // No entry is missing or doubled, and requests beyond a tenant's share are counted apart.
     assert!(exported.findings.iter().all(|finding| format!("{finding:?}").starts_with("Repeat")));
     assert!(exported.totals.values().any(|line| line.beyond.requests > 0));
 }
 
-/// A disk that takes no more holds the ledger up, not the router: entries wait in memory, and what the disk has is whole.
-/// The next start goes on behind the last whole entry.
+/// A full disk stops the ledger, but no request: entries wait in memory, and the file ends in a complete entry. The
+/// next start continues behind it.
 #[test]
-fn a_full_disk_stops_the_ledger_and_no_request() {
+fn full_disk_stops_ledger_but_no_request() {
     let folder = tempfile::tempdir().unwrap();
-    let at = folder.path().join("n0");
-    let servers = servers(|| false);
-    let nobody = "127.0.0.1:9".parse().unwrap();
-    // No file grows past 4 blocks; the signal that says so is ignored, as if the disk were full.
-    let full = begin(command(&at, "n0", servers, nobody, "trap '' XFSZ; ulimit -f 4;", true), "n0");
-    (0..20).for_each(|number| assert!(ask(&full, number, number)));
-    full.wait("router_ledger_stopped", 1);
-    // Each is on the disk or waits for it, and none is lost.
-    let until = Instant::now() + PATIENCE;
+    let router_folder = folder.path().join("n0");
+    let servers = start_servers(|| false);
+    let no_sink = "127.0.0.1:9".parse().unwrap();
+    // No file can grow past 4 blocks. The signal for that is ignored, so that writes fail as on a full disk.
+    let full = start_router(
+        command(&router_folder, "n0", servers, no_sink, "trap '' XFSZ; ulimit -f 4;", true),
+        "n0",
+    );
+    (0..20).for_each(|number| assert!(request(&full, number, number)));
+    full.wait_for_metric("router_ledger_stopped", 1);
+    // Each entry is on the disk or waits for it; none is lost.
+    let until = Instant::now() + STEP_TIMEOUT;
     let written = loop {
-        let (written, waiting) = (full.figure("router_ledger_entries"), full.figure("router_ledger_waiting"));
+        let (written, waiting) = (full.metric("router_ledger_entries"), full.metric("router_ledger_waiting"));
         if written > 0 && waiting > 0 && written + waiting == 20 {
             break written;
         }
         assert!(Instant::now() < until, "{written} written, {waiting} wait");
         std::thread::sleep(Duration::from_millis(5));
     };
-    assert_eq!(full.figure("router_success{type=\"log-chat\"}"), 20);
-    assert_eq!(full.figure("router_ledger_lost"), 0);
+    assert_eq!(full.metric("router_success{type=\"log-chat\"}"), 20);
+    assert_eq!(full.metric("router_ledger_lost"), 0);
     drop(full);
-    let router = start(&at, "n0", servers, nobody);
-    assert!(ask(&router, 30, 30));
-    router.wait("router_ledger_entries", 1);
+    let router = start(&router_folder, "n0", servers, no_sink);
+    assert!(request(&router, 30, 30));
+    router.wait_for_metric("router_ledger_entries", 1);
     drop(router);
     let mut numbers = Vec::new();
-    read_all(&at.join("usage"), "usage", |record| match record {
+    read_all(&router_folder.join("usage"), "usage", |record| match record {
         Record::Entry(entry) => numbers.push(entry.number),
         Record::Closed { .. } => {}
     })
@@ -248,45 +252,47 @@
     assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>());
 }
 
-/// What is wrong with the ledger ends the start with one clear line.
+/// A ledger that cannot be used ends the start with one line.
 #[test]
-fn a_ledger_that_cannot_be_kept_ends_the_start() {
+fn unusable_ledger_ends_start_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
-    let (at, other) = (folder.path().join("n0"), folder.path().join("n1"));
-    let (servers, nobody) = (servers(|| false), "127.0.0.1:9".parse().unwrap());
-    drop(start(&at, "n0", servers, nobody));
-    let ends = |mut command: Command, wanted: &str| {
-        let done = command.output().unwrap();
-        let text = String::from_utf8(done.stderr).unwrap();
-        assert_eq!((done.status.code(), text.lines().count()), (Some(1), 1), "{text}");
+    let (first_folder, second_folder) = (folder.path().join("n0"), folder.path().join("n1"));
+    let (servers, no_sink) = (start_servers(|| false), "127.0.0.1:9".parse().unwrap());
+    drop(start(&first_folder, "n0", servers, no_sink));
+    let assert_fails = |mut command: Command, wanted: &str| {
+        let output = command.output().unwrap();
+        let text = String::from_utf8(output.stderr).unwrap();
+        assert_eq!((output.status.code(), text.lines().count()), (Some(1), 1), "{text}");
         assert!(text.starts_with("fawnstream: ") && text.contains(wanted), "{text}");
     };
-    // Another router's, one that is in use, a damaged one, and a file that makes no sense.
-    std::fs::create_dir_all(&other).unwrap();
-    std::fs::rename(at.join("usage"), other.join("usage")).unwrap();
-    ends(command(&other, "n1", servers, nobody, "", true), "belongs to n0, not to n1");
-    let used = start(&at, "n0", servers, nobody);
-    ends(command(&at, "n0", servers, nobody, "", true), "another process writes there");
-    drop(used);
-    std::fs::write(at.join("usage/usage-00000001.log"), b"no ledger at all").unwrap();
-    ends(command(&at, "n0", servers, nobody, "", true), "damaged at byte 0");
-    let bad = command(&at, "n0", servers, nobody, "", true);
-    let text = std::fs::read_to_string(at.join("ledger.toml")).unwrap();
-    std::fs::write(at.join("ledger.toml"), text.replace("grace_s = 120", "grace_s = 1")).unwrap();
-    ends(bad, "grace_s must not be under join_s");
+    // A ledger of another router, a ledger in use, a damaged one, and invalid settings.
+    std::fs::create_dir_all(&second_folder).unwrap();
+    std::fs::rename(first_folder.join("usage"), second_folder.join("usage")).unwrap();
+    assert_fails(command(&second_folder, "n1", servers, no_sink, "", true), "belongs to n0, not to n1");
+    let running = start(&first_folder, "n0", servers, no_sink);
+    assert_fails(command(&first_folder, "n0", servers, no_sink, "", true), "another process writes there");
+    drop(running);
+    std::fs::write(first_folder.join("usage/usage-00000001.log"), b"no ledger at all").unwrap();
+    assert_fails(command(&first_folder, "n0", servers, no_sink, "", true), "damaged at byte 0");
+    let invalid = command(&first_folder, "n0", servers, no_sink, "", true);
+    let text = std::fs::read_to_string(first_folder.join("ledger.toml")).unwrap();
+    std::fs::write(first_folder.join("ledger.toml"), text.replace("grace_s = 120", "grace_s = 1")).unwrap();
+    assert_fails(invalid, "grace_s must not be under join_s");
 }
 
-/// What the ledger costs a request: `cargo test --release -p fawnstream --test ledger -- --ignored cost --nocapture`.
+/// CPU time of the ledger per request:
+/// `cargo test --release -p fawnstream --test ledger -- --ignored cost --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn measured_cost() {
+fn measure_cost() {
     const REQUESTS: u64 = 4_000;
     for round in 0..3 {
         for on in [false, true] {
             let folder = tempfile::tempdir().unwrap();
-            let (servers, nobody) = (servers(|| false), "127.0.0.1:9".parse().unwrap());
-            let router = begin(command(&folder.path().join("n0"), "n0", servers, nobody, "", on), "n0");
-            (0..REQUESTS).for_each(|number| assert!(ask(&router, number, number)));
+            let (servers, no_sink) = (start_servers(|| false), "127.0.0.1:9".parse().unwrap());
+            let router =
+                start_router(command(&folder.path().join("n0"), "n0", servers, no_sink, "", on), "n0");
+            (0..REQUESTS).for_each(|number| assert!(request(&router, number, number)));
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", router.child.id())).unwrap();
             let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
             // Ticks of 10 ms, of both threads.
--- a/router/tests/lifecycle.rs
+++ b/router/tests/lifecycle.rs
@@ -1,8 +1,8 @@
-//! The life cycle: which phase follows which.
+//! Transitions of the life cycle.
 
 use fawnstream::lifecycle::{Event, Phase};
 
-const ALL: [Phase; 5] = [
+const ALL_PHASES: [Phase; 5] = [
     Phase::Starting { drained: false },
     Phase::Starting { drained: true },
     Phase::Active,
@@ -10,10 +10,10 @@
     Phase::Stopping,
 ];
 
-/// Whatever else happens, a stop is the end; and no call but a resume during a stop is turned down.
+/// A stop is final in every phase, and no event but a resume during a stop is rejected.
 #[test]
-fn a_stop_is_the_end_and_calls_may_be_repeated() {
-    for phase in ALL {
+fn stop_is_final_and_events_are_repeatable() {
+    for phase in ALL_PHASES {
         assert_eq!(phase.next(Event::Stop), Some(Phase::Stopping));
         for event in [Event::Ready, Event::Drain, Event::Resume] {
             let next = phase.next(event);
@@ -25,9 +25,9 @@
     }
 }
 
-/// A drain before the list is there is kept until it is.
+/// A drain before the router is ready takes effect when it is.
 #[test]
-fn a_drain_at_the_start_is_kept() {
+fn drain_while_starting_is_kept() {
     let drained = Phase::Starting { drained: false }.next(Event::Drain).unwrap();
     assert!(!drained.accepts_clients());
     assert_eq!(drained.next(Event::Ready), Some(Phase::Standby));
--- a/router/tests/plans/mod.rs
+++ b/router/tests/plans/mod.rs
@@ -1,4 +1,4 @@
-//! Plays plans of the fault soak's folder against the built program.
+//! Plays plans of the fault soak (folder `soak/plans`) against the built program.
 
 use fawnstream_soak::oracle::{MOST_LATE, Violation, judge};
 use fawnstream_soak::plan::Plan;
@@ -6,23 +6,23 @@
 use fawnstream_soak::world::play;
 use std::path::Path;
 
-/// A play on a machine that was too busy is played again, so often at most.
-const TRIES: usize = 3;
+/// Most plays of one plan: a play is repeated if the machine was too busy.
+const MAX_PLAYS: usize = 3;
 
-fn plan(name: &str) -> Plan {
+fn read_plan(name: &str) -> Plan {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../soak/plans");
     Plan::read(&folder.join(name).with_extension("toml")).unwrap()
 }
 
-fn told(violation: &Violation) -> String {
+fn describe(violation: &Violation) -> String {
     format!("{}: {}\n{}", violation.check, violation.what, violation.story.join("\n"))
 }
 
-/// Plays a plan; what was seen, and the rules that were broken.
-async fn played(plan: &Plan) -> (Seen, Vec<String>) {
+/// Plays a plan; returns what was observed, and the violations.
+async fn play_plan(plan: &Plan) -> (Seen, Vec<String>) {
     let program = Path::new(env!("CARGO_BIN_EXE_fawnstream"));
     let mut seen = Seen::default();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_PLAYS {
         let folder = tempfile::tempdir().unwrap();
         seen = play(plan, program, folder.path()).await.unwrap();
         if seen.lateness <= MOST_LATE {
@@ -30,13 +30,13 @@
         }
     }
     assert!(seen.requests.len() > 200, "{} requests", seen.requests.len());
-    let broken = judge(&seen, plan).iter().map(told).collect();
-    (seen, broken)
+    let violations = judge(&seen, plan).iter().map(describe).collect();
+    (seen, violations)
 }
 
-/// Plays a plan and breaks no rule.
-pub async fn keeps_all_rules(name: &str) -> Seen {
-    let (seen, broken) = played(&plan(name)).await;
-    assert!(broken.is_empty(), "{name}: {} rules broken:\n{}", broken.len(), broken.join("\n"));
+/// Plays a plan and asserts that it violates no rule.
+pub async fn assert_no_violations(name: &str) -> Seen {
+    let (seen, violations) = play_plan(&read_plan(name)).await;
+    assert!(violations.is_empty(), "{name}: {} violations:\n{}", violations.len(), violations.join("\n"));
     seen
 }
--- a/router/tests/silent_connections.rs
+++ b/router/tests/silent_connections.rs
@@ -1,47 +1,54 @@
-//! Connections to servers that fall silent and stay open: what is held is let go of in time, calls stop going there, and
-//! slow servers that are well lose nothing. Real router processes, by the fault soak's network and checks.
+//! Server connections that fall silent and stay open: leases are released in time, the router stops using such
+//! servers, and slow but healthy servers lose no request. Runs real router processes with the fault soak's network and
+//! checks.
 
 mod plans;
 
 use fawnstream_soak::network::FOUND_OUT;
 use fawnstream_soak::story::{Happened, Outcome, Seen};
-use plans::keeps_all_rules;
+use plans::assert_no_violations;
 
-/// Calls that may go to each silent server once it has been found out.
-const MOST_AFTER: usize = 10;
+/// Limit on calls to each silent server once it has been detected.
+const MAX_CALLS_AFTER_DETECTION: usize = 10;
 
-/// Requests that ended in no whole stream though their clients waited for it.
-fn lost(seen: &Seen) -> Vec<String> {
-    let well = |happened: &Happened| matches!(happened, Happened::Ended(Outcome::Served | Outcome::Left));
-    let lost = seen.requests.iter().filter(|(_, story)| !story.iter().any(|(_, happened)| well(happened)));
+/// Requests that did not end in a complete stream though their clients waited for it.
+fn lost_requests(seen: &Seen) -> Vec<String> {
+    let ended_well =
+        |happened: &Happened| matches!(happened, Happened::Ended(Outcome::Served | Outcome::Left));
+    let lost =
+        seen.requests.iter().filter(|(_, story)| !story.iter().any(|(_, happened)| ended_well(happened)));
     lost.map(|(id, story)| format!("{id:x}: {story:?}")).collect()
 }
 
-/// A silence of whole servers: no rule is broken, and few calls go there once they are found out.
-async fn finds_silent_servers(name: &str) {
-    let seen = keeps_all_rules(name).await;
+/// Plays a plan with silent servers: no rule is violated, and few calls go to these servers after detection.
+async fn assert_detects_silent_servers(name: &str) {
+    let seen = assert_no_violations(name).await;
     for (server, calls) in &seen.swallowed {
         let after: Vec<_> = calls.iter().map(|call| call.after).filter(|after| *after > FOUND_OUT).collect();
-        assert!(after.len() < MOST_AFTER, "{name}: {} calls to server {server}: {after:?}", after.len());
+        assert!(
+            after.len() < MAX_CALLS_AFTER_DETECTION,
+            "{name}: {} calls to server {server}: {after:?}",
+            after.len()
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_writers_hold_nothing_up() {
-    finds_silent_servers("one_silent_writer").await;
-    finds_silent_servers("two_silent_writers").await;
-    finds_silent_servers("all_writers_silent").await;
+async fn detects_silent_writers() {
+    assert_detects_silent_servers("one_silent_writer").await;
+    assert_detects_silent_servers("two_silent_writers").await;
+    assert_detects_silent_servers("all_writers_silent").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_connections_and_readers_hold_nothing_up() {
-    keeps_all_rules("silent_connections").await;
-    keeps_all_rules("silent_readers").await;
+async fn tolerates_silent_connections_and_readers() {
+    assert_no_violations("silent_connections").await;
+    assert_no_violations("silent_readers").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_first_tokens_lose_nothing() {
-    let seen = keeps_all_rules("slow_first_tokens").await;
-    let lost = lost(&seen);
+async fn slow_first_tokens_lose_no_request() {
+    let seen = assert_no_violations("slow_first_tokens").await;
+    let lost = lost_requests(&seen);
     assert!(lost.is_empty(), "{} of {} lost:\n{}", lost.len(), seen.requests.len(), lost.join("\n"));
 }
--- a/router/tests/soak.rs
+++ b/router/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short fixed set of the fault soak's plans against the built program; `docs/testing.md` has the long run.
+//! A short, fixed set of fault soak plans against the built program; `docs/testing.md` describes the long run.
 
 use fawnstream_soak::oracle::{MOST_LATE, judge};
 use fawnstream_soak::plan::Plan;
@@ -6,18 +6,18 @@
 use fawnstream_soak::world::play;
 use std::path::Path;
 
-/// Seeds whose troubles cover stops, kills, crashes, drains, silences, system calls and disks that fail.
+/// Seeds whose fault plans cover stops, kills, crashes, drains, silences, and failing system calls and disks.
 const SEEDS: [u64; 4] = [3, 5, 13, 70];
-/// A play on a machine that was too busy is played again, so often at most.
-const TRIES: usize = 3;
-/// So many play at once.
-const AT_ONCE: usize = 2;
+/// Most plays of one plan: a play is repeated if the machine was too busy.
+const MAX_PLAYS: usize = 3;
+/// Plans played at once.
+const CONCURRENT_PLAYS: usize = 2;
 
 async fn violations(seed: u64) -> Vec<String> {
     let plan = Plan { quiet_ms: 500, ..Plan::draw(seed) };
     let program = Path::new(env!("CARGO_BIN_EXE_fawnstream"));
     let mut seen = Seen::default();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_PLAYS {
         let folder = tempfile::tempdir().unwrap();
         seen = play(&plan, program, folder.path()).await.unwrap();
         if seen.lateness <= MOST_LATE {
@@ -33,8 +33,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn fixed_seeds_break_no_rule() {
-    for seeds in SEEDS.chunks(AT_ONCE) {
+async fn fixed_seeds_violate_no_rule() {
+    for seeds in SEEDS.chunks(CONCURRENT_PLAYS) {
         let plays: Vec<_> = seeds.iter().map(|seed| tokio::spawn(violations(*seed))).collect();
         for play in plays {
             let violations = play.await.unwrap();
--- a/router/tests/standins/mod.rs
+++ b/router/tests/standins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers on threads of their own, and a started router to ask: what several tests share.
+//! Helpers shared by several tests: fake servers on their own threads, and a running router.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,29 +7,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a step waits for what it expects; only a failing test takes so long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for anything expected; only a failing test takes this long.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Chance from a seed, so that a failing round can be played again.
-pub struct Chance(pub u64);
+/// Random numbers from a seed, so that a failing run can be reproduced.
+pub struct Random(pub u64);
 
-impl Chance {
-    pub fn below(&mut self, most: u64) -> u64 {
+impl Random {
+    /// A number below `limit`.
+    pub fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % most
+        self.0 % limit
     }
 }
 
-/// Reads one message: its head, and its body.
-pub fn message(from: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
+/// Reads one HTTP message; returns its head and body.
+pub fn read_message(from: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let (mut head, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|size| *size > 0)?;
-        if let Some(told) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = told.trim().parse().ok()?;
+        if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
+            length = value.trim().parse().ok()?;
         }
         if line == "\r\n" {
             break;
@@ -41,8 +42,8 @@
     Some((head, body))
 }
 
-/// A server that answers each message by itself, on threads of its own.
-pub fn serve(answer: impl Fn(&str, &[u8]) -> Option<String> + Send + Sync + 'static) -> SocketAddr {
+/// Starts a server that answers each message with `answer`; without an answer it closes the connection.
+pub fn start_server(answer: impl Fn(&str, &[u8]) -> Option<String> + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, answer) = (listener.local_addr().unwrap(), Arc::new(answer));
     std::thread::spawn(move || {
@@ -51,7 +52,7 @@
             std::thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().unwrap());
                 let mut to = stream;
-                while let Some((head, body)) = message(&mut from) {
+                while let Some((head, body)) = read_message(&mut from) {
                     let Some(text) = answer(&head, &body) else { return };
                     if to.write_all(text.as_bytes()).is_err() {
                         return;
@@ -63,12 +64,13 @@
     address
 }
 
+/// One chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:X}\r\n{text}\r\n", text.len())
 }
 
-/// A discovery whose one watch is fed by the test; it keeps the watch alive with an empty line.
-pub fn discovery(lines: std::sync::mpsc::Receiver<String>) -> SocketAddr {
+/// Starts a discovery whose single watch sends `lines`, and an empty line after each second without one.
+pub fn start_discovery(lines: std::sync::mpsc::Receiver<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -76,7 +78,7 @@
             let mut from = BufReader::new(stream.try_clone().unwrap());
             let mut to = stream;
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            if message(&mut from).is_none() || to.write_all(head.as_bytes()).is_err() {
+            if read_message(&mut from).is_none() || to.write_all(head.as_bytes()).is_err() {
                 continue;
             }
             loop {
@@ -90,19 +92,19 @@
     address
 }
 
-/// What a reader answers that has read a prompt.
+/// A reader's answer after it has read a prompt.
 pub const READ: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":12}";
-/// What any server answers that let go of all that it held for a request.
+/// A server's answer to a release.
 pub const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A writer's whole answer, of one event and its end.
-pub fn answer(event: &str) -> String {
+/// A writer's complete answer, with one event and the final event.
+pub fn stream_answer(event: &str) -> String {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     let event = chunk(&format!("data: {event}\n\n"));
     format!("{head}{event}{}0\r\n\r\n", chunk("data: [DONE]\n\n"))
 }
 
-/// A started router.
+/// A running router.
 pub struct Router {
     pub child: Child,
     pub clients: SocketAddr,
@@ -116,8 +118,8 @@
     }
 }
 
-/// Starts it, and reads from its log where it listens.
-pub fn begin(mut command: Command, name: &str) -> Router {
+/// Starts a router and reads its addresses from its log.
+pub fn start_router(mut command: Command, name: &str) -> Router {
     let mut child = command.spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
     let mut address = |what: &str| {
@@ -130,14 +132,22 @@
 }
 
 impl Router {
-    /// Asks for one prompt; the whole answer, or what came of it.
-    pub fn ask(&self, id: u64, session: u64, class: &str, tenant: &str, budget: &str, body: &str) -> String {
-        self.ask_after(Duration::ZERO, id, session, class, tenant, budget, body)
+    /// Sends one request; returns everything received until the connection closes.
+    pub fn request(
+        &self,
+        id: u64,
+        session: u64,
+        class: &str,
+        tenant: &str,
+        budget: &str,
+        body: &str,
+    ) -> String {
+        self.request_after(Duration::ZERO, id, session, class, tenant, budget, body)
     }
 
-    /// The same for a client whose request follows its connection by so long.
+    /// Like [`Router::request`], with a pause between connecting and sending.
     #[allow(clippy::too_many_arguments)]
-    pub fn ask_after(
+    pub fn request_after(
         &self,
         pause: Duration,
         id: u64,
@@ -162,8 +172,8 @@
         answer
     }
 
-    /// A figure, as operators find it.
-    pub fn figure(&self, name: &str) -> u64 {
+    /// Reads a metric at the operators' address.
+    pub fn metric(&self, name: &str) -> u64 {
         let mut stream = TcpStream::connect(self.operators).unwrap();
         stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
         let mut answer = String::new();
@@ -172,17 +182,17 @@
         line.unwrap_or_else(|| panic!("no {name} in\n{answer}")).parse().unwrap()
     }
 
-    /// Waits until a figure is so large.
-    pub fn wait(&self, name: &str, wanted: u64) {
-        let until = Instant::now() + PATIENCE;
-        while self.figure(name) < wanted {
-            assert!(Instant::now() < until, "{name} is {}, wanted {wanted}", self.figure(name));
+    /// Waits until a metric has reached a value.
+    pub fn wait_for_metric(&self, name: &str, wanted: u64) {
+        let until = Instant::now() + STEP_TIMEOUT;
+        while self.metric(name) < wanted {
+            assert!(Instant::now() < until, "{name} is {}, wanted {wanted}", self.metric(name));
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// A started router with both fronts, which has room for the largest requests.
+/// A running router with the platform's and the OpenAI-style API, with room for the largest requests.
 pub struct BothFronts {
     pub child: Child,
     pub platform: SocketAddr,
@@ -197,8 +207,8 @@
     }
 }
 
-/// Starts it before one reader and one writer.
-pub fn both_fronts(reader: SocketAddr, writer: SocketAddr) -> BothFronts {
+/// Starts such a router with one reader and one writer.
+pub fn start_both_fronts(reader: SocketAddr, writer: SocketAddr) -> BothFronts {
     let folder = tempfile::tempdir().unwrap();
     let config = include_str!("../config.json")
         .replace("{d}", "127.0.0.1:9")
--- a/router/tests/stop_with_leases.rs
+++ b/router/tests/stop_with_leases.rs
@@ -1,39 +1,40 @@
-//! A router that is told to end while a writer does not say whether an attempt there is over: it ends by itself when it has
-//! had the rule's time to let go of what is held. "What a stopped instance left is freed some seconds later."
+//! Stopping a router while a writer does not answer an attempt. The router must end on its own once the time limit for
+//! releasing leases is over: servers free what a stopped router left behind some seconds later.
 
 mod standins;
 
 use rustix::process::{Pid, Signal, kill_process};
-use standins::{READ, RELEASED, begin, discovery, serve};
+use standins::{READ, RELEASED, start_discovery, start_router, start_server};
 use std::io::Write as _;
 use std::net::TcpStream;
 use std::process::{Command, Stdio};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// A silent writer is silent for the whole test.
-const SILENT: Duration = Duration::from_secs(60);
-/// A router stays open this long after SIGTERM, has 0.8 s to let go, and as much again for its own work: the operators saw it
-/// end within 1.9 s before leases were kept for writers that are silent.
-const ENDS_WITHIN: Duration = Duration::from_millis(1_900);
+/// The silence of the writer, longer than the test.
+const SILENCE: Duration = Duration::from_secs(60);
+/// Time from SIGTERM to the end: the router stays open for a while, has 0.8 s to release leases, and as much again for
+/// its own work. Operators saw it end within 1.9 s before it kept leases for silent writers.
+const MAX_STOP_TIME: Duration = Duration::from_millis(1_900);
 
 #[test]
-fn a_stop_does_not_wait_for_a_silent_writer() {
-    let reader = serve(|head, _| Some(if head.starts_with("DELETE") { RELEASED } else { READ }.to_owned()));
-    let writer = serve(|_, _| {
-        std::thread::sleep(SILENT);
+fn stop_does_not_wait_for_silent_writer() {
+    let reader =
+        start_server(|head, _| Some(if head.starts_with("DELETE") { RELEASED } else { READ }.to_owned()));
+    let writer = start_server(|_, _| {
+        std::thread::sleep(SILENCE);
         None
     });
     let (_list, changes) = channel();
     let folder = tempfile::tempdir().unwrap();
     let config = include_str!("config.json")
-        .replace("{d}", &discovery(changes).to_string())
+        .replace("{d}", &start_discovery(changes).to_string())
         .replace("{r1}", &reader.to_string())
         .replace("{w1}", &writer.to_string());
     std::fs::write(folder.path().join("config.json"), config).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_fawnstream"));
     command.env_clear().env("PROXY_CONFIG", folder.path().join("config.json"));
-    let mut router = begin(
+    let mut router = start_router(
         {
             command.stdin(Stdio::null()).stderr(Stdio::piped());
             command
@@ -45,13 +46,13 @@
                 X-Call-Class: book-device\r\nX-Caller: donaupay\r\nX-Route-Hash: 0000000000000007\r\nX-Budget: 9\r\n\
                 X-Call-Info: prompt_len=90,max_out=80\r\nContent-Length: 2\r\n\r\n{}";
     client.write_all(head.as_bytes()).unwrap();
-    // The read and the call at the writer.
-    router.wait("router_dispatches", 2);
+    // Both the read and the writer's attempt have been sent.
+    router.wait_for_metric("router_dispatches", 2);
     drop(client);
-    router.wait("router_abandoned{type=\"book-device\"}", 1);
+    router.wait_for_metric("router_abandoned{type=\"book-device\"}", 1);
     kill_process(Pid::from_child(&router.child), Signal::TERM).unwrap();
-    let told = Instant::now();
+    let signalled = Instant::now();
     let status = router.child.wait().unwrap();
     assert!(status.success(), "{status}");
-    assert!(told.elapsed() < ENDS_WITHIN, "it ended after {:?}", told.elapsed());
+    assert!(signalled.elapsed() < MAX_STOP_TIME, "it ended after {:?}", signalled.elapsed());
 }
