--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -165,12 +165,12 @@
         let sockets = file.limits.sockets / processes;
         if sockets < MIN_SOCKETS {
             let (given, min) = (file.limits.sockets, MIN_SOCKETS * processes);
-            return Err(invalid(format!("limits.sockets must be at least {min}, not {given}")));
+            return Err(invalid(format!("limits.sockets: {given} is under {min}")));
         }
         let memory_mb = file.limits.memory_mb / processes as f64;
         if memory_mb < MIN_MEMORY_MB {
             let (given, min) = (file.limits.memory_mb, MIN_MEMORY_MB * processes as f64);
-            return Err(invalid(format!("limits.memory_mb must be at least {min}, not {given}")));
+            return Err(invalid(format!("limits.memory_mb: {given} is under {min}")));
         }
         let client_sockets = ((sockets - SPARE_SOCKETS) as f64 * CLIENT_SHARE) as usize;
         let connections = file.settings.connection_settings();
