--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -286,7 +286,7 @@
     // connection that is still open here would count against both.
     let takes_clients = match shared.lifecycle.phase() {
         Phase::Stopping => shared.inherited,
-        phase => phase.takes_clients(),
+        phase => phase.accepts_clients(),
     };
     let healthy = takes_clients && shared.core.can_serve();
     Response::new(if healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
--- a/router/src/clients/listener.rs
+++ b/router/src/clients/listener.rs
@@ -276,7 +276,7 @@
         async move {
             let conn = request.conn_data::<Rc<Conn>>().cloned();
             let mut response = handle(shared.clone(), request).await;
-            if shared.lifecycle.phase().sends_away() {
+            if shared.lifecycle.phase().is_draining() {
                 response.head_mut().set_connection_type(ConnectionType::Close);
             }
             if let Some(conn) = conn.filter(|_| !response.head().keep_alive()) {
@@ -405,7 +405,7 @@
     let mut pending_close: Option<PendingClose> = None;
     let code = loop {
         let now = Instant::now();
-        let drain_start = shared.lifecycle.away_since();
+        let drain_start = shared.lifecycle.draining_since();
         let head_due = |due: Instant| {
             drain_start
                 .filter(|_| conn.head_started())
@@ -544,7 +544,7 @@
         Err(DispatchError::Io(_)) => "reset",
         Err(_) => "error",
         Ok(()) if conn.client_closed.get() => "client-closed",
-        Ok(()) if phase.sends_away() => phase.name(),
+        Ok(()) if phase.is_draining() => phase.name(),
         Ok(()) if conn.requests.get() == 0 => "no-request",
         Ok(()) => "closed",
     }
--- a/router/src/clients/openai/render.rs
+++ b/router/src/clients/openai/render.rs
@@ -3,14 +3,14 @@
 use super::super::Render;
 use super::api::ChatRequest;
 use super::{broken_event, parse_object, with_total};
-use crate::sse::{self, Lines};
+use crate::sse::{self, LineSplitter};
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use std::fmt::Write;
 
 /// Renders an answer as a stream of chunks.
 pub struct ChunkRenderer {
-    lines: Lines,
+    lines: LineSplitter,
     id: String,
     created: u64,
     model: String,
@@ -23,7 +23,7 @@
     /// A renderer for the answer to this request.
     pub fn new(id: String, created: u64, chat: &ChatRequest) -> Self {
         let (model, include_usage) = (chat.model.clone(), chat.include_usage);
-        ChunkRenderer { lines: Lines::default(), id, created, model, include_usage, role_sent: false }
+        ChunkRenderer { lines: LineSplitter::default(), id, created, model, include_usage, role_sent: false }
     }
 
     fn chunk(&mut self, mut object: Map<String, Value>) -> Option<Value> {
@@ -79,7 +79,7 @@
 /// Collects a stream into one JSON answer.
 #[derive(Default)]
 pub struct AnswerCollector {
-    lines: Lines,
+    lines: LineSplitter,
     message: Map<String, Value>,
     finish_reason: Value,
     usage: Option<Value>,
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -293,7 +293,7 @@
     }
     member.opened();
     // Frees what only the upgrade needed: the connection may stay open for hours.
-    let leg = client_leg(framed, config.limits.frame);
+    let leg = client_leg(framed, config.limits.max_frame_bytes);
     drop((request, config));
     let class = shared.core.class_name(route.class).to_owned();
     Relay::new(member, leg, upstream, ask, connect, label).run(&class, &tenant_name).await;
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -5,12 +5,12 @@
 mod repeats;
 
 use crate::exchange::{ClientEnd, Exchange, Opening};
-use crate::handover::Bill;
+use crate::handover::BillingDetails;
 use crate::list::{Entry, Update};
 use crate::log;
 use crate::names;
 use crate::servers::ConnectionInfo;
-use crate::usage::{self, Usage};
+use crate::usage::{self, UsageLedger};
 use fawnstream_attempts::delivery::Delivery;
 use fawnstream_attempts::invariants::{Invariant, Violations};
 use fawnstream_attempts::{Attempts, RepeatPolicy};
@@ -269,7 +269,7 @@
     /// How long the decision module took for each event.
     decisions: Option<Histogram>,
     /// The usage ledger, if one is kept.
-    usage: Option<Rc<Usage>>,
+    usage: Option<Rc<UsageLedger>>,
     /// Counts of violated invariants.
     violations: Violations,
     started_at: Instant,
@@ -286,7 +286,7 @@
         names: shedrelay_settings::Names,
         lease_config: LeaseConfig,
         seed: u64,
-        usage: Option<Rc<Usage>>,
+        usage: Option<Rc<UsageLedger>>,
     ) -> Result<Rc<Self>, SettingsError> {
         let roles = settings.kinds.iter().map(|kind| kind.role).collect();
         let repeat_policies = settings.classes.iter().map(|class| class.effect.repeat()).collect();
@@ -369,12 +369,12 @@
     }
 
     /// What a request is billed by, if a ledger is kept.
-    pub fn bill(&self, call: &crate::exchange::Call) -> Option<Bill> {
-        Some(self.usage.as_ref()?.bill(call, self.tenant_name(call.tenant)))
+    pub fn bill(&self, call: &crate::exchange::Call) -> Option<BillingDetails> {
+        Some(self.usage.as_ref()?.billing_details(call, self.tenant_name(call.tenant)))
     }
 
     /// The usage ledger, if one is kept.
-    pub fn usage(&self) -> Option<&Usage> {
+    pub fn usage(&self) -> Option<&UsageLedger> {
         self.usage.as_deref()
     }
 
@@ -631,7 +631,7 @@
             outcome_recorded: Cell::new(false),
         };
         if let Some(usage) = &self.usage {
-            usage.came(id, &exchange.call, self.tenant_name(exchange.call.tenant));
+            usage.request_started(id, &exchange.call, self.tenant_name(exchange.call.tenant));
         }
         self.requests.borrow_mut().insert(id, open);
         self.handle(Event::Request(request));
@@ -664,7 +664,7 @@
         exchange: Rc<Exchange>,
         label: &str,
         address: SocketAddr,
-        bill: Option<Bill>,
+        bill: Option<BillingDetails>,
     ) -> Option<(AttemptOrder, ClientEnd)> {
         if self.labels.borrow().contains_key(&exchange.call.label) {
             return None;
@@ -698,7 +698,7 @@
             outcome_recorded: Cell::new(false),
         };
         if let (Some(usage), Some(bill)) = (&self.usage, bill) {
-            usage.carried(request, bill);
+            usage.request_received(request, bill);
         }
         self.requests.borrow_mut().insert(request, open);
         let end = self.reattach_client(request, &exchange);
@@ -734,7 +734,7 @@
         self.labels.borrow_mut().remove(&open.exchange.call.label);
         log!("request id={} outcome=handed-over", open.exchange.call.label);
         if let Some(usage) = &self.usage {
-            usage.handed(request);
+            usage.request_handed_over(request);
         }
         let (verdict, settled) = (Verdict::Ok, true);
         let evidence = Evidence::Server;
@@ -937,7 +937,7 @@
                 reported_tokens: tokens,
                 declared_prompt_tokens: call.prompt_len as i64,
             };
-            usage.ended(id, used);
+            usage.request_ended(id, used);
         }
         if let Some(counts) = self.outcome_counts.borrow_mut().get_mut(call.class.0) {
             match outcome {
--- a/router/src/live.rs
+++ b/router/src/live.rs
@@ -159,7 +159,7 @@
             let now = self.now();
             {
                 let mut sessions = self.sessions.borrow_mut();
-                match lifecycle.phase().sends_away() {
+                match lifecycle.phase().is_draining() {
                     true => sessions.start_drain(now),
                     false => sessions.end_drain(),
                 }
--- a/router/src/live/relay.rs
+++ b/router/src/live/relay.rs
@@ -342,7 +342,7 @@
             self.end = Some(End { code: "client-closed", due: Instant::now() + CLOSE_TIMEOUT });
         }
         let limits = self.handle.settings().limits;
-        match self.from_client.pass(&frame, limits.message, false) {
+        match self.from_client.pass(&frame, limits.max_message_bytes, false) {
             Ok(FrameKind::MessageEnd(_)) => {
                 self.messages.0 += 1;
                 self.last_message_at = Instant::now();
@@ -414,7 +414,7 @@
             return None;
         }
         let settings = self.handle.settings();
-        match self.from_server.pass(&frame, settings.limits.message, settings.resume.any()) {
+        match self.from_server.pass(&frame, settings.limits.max_message_bytes, settings.resume.any()) {
             Ok(FrameKind::MessageEnd(text)) => {
                 self.messages.1 += 1;
                 self.last_message_at = Instant::now();
@@ -472,11 +472,12 @@
     fn next_due(&self) -> Instant {
         let limits = self.handle.settings().limits;
         let leg_due = |leg: &WebSocketStream| {
-            let heartbeat =
-                leg.pending_ping.map_or(leg.last_read + limits.ping, |(pinged, _)| pinged + limits.pong);
+            let heartbeat = leg
+                .pending_ping
+                .map_or(leg.last_read + limits.ping_after, |(pinged, _)| pinged + limits.pong_timeout);
             leg.write_stalled_since().map_or(heartbeat, |stuck| heartbeat.min(stuck + WRITE_STALL_TIMEOUT))
         };
-        let mut due = leg_due(&self.client).min(self.last_message_at + limits.idle);
+        let mut due = leg_due(&self.client).min(self.last_message_at + limits.idle_timeout);
         if let Some(server) = &self.server {
             due = due.min(leg_due(server));
         }
@@ -509,8 +510,8 @@
         match check_liveness(
             &mut self.client,
             now,
-            limits.ping,
-            limits.pong,
+            limits.ping_after,
+            limits.pong_timeout,
             paused && self.end.is_none(),
             &mut self.pings,
         ) {
@@ -526,13 +527,14 @@
         }
         let paused = !self.client.has_room() || self.pending_move.is_some();
         if let Some(server) = &mut self.server {
-            match check_liveness(server, now, limits.ping, limits.pong, paused, &mut self.pings) {
+            match check_liveness(server, now, limits.ping_after, limits.pong_timeout, paused, &mut self.pings)
+            {
                 Liveness::Alive => {}
                 Liveness::Silent => return self.server_broke("server-silent"),
                 Liveness::Stuck => return self.server_broke("server-stuck"),
             }
         }
-        if self.last_message_at + limits.idle <= now {
+        if self.last_message_at + limits.idle_timeout <= now {
             self.close("idle", 1001, "nothing has passed for long");
         }
         None
--- a/router/src/live/resume.rs
+++ b/router/src/live/resume.rs
@@ -2,7 +2,7 @@
 //! id of the server's last message and whether the client's messages have been acknowledged. From this follows whether
 //! the connection may move to another server. Does no I/O.
 
-use crate::config::websocket::Fields;
+use crate::config::websocket::ResumeFields;
 use actix_http::ws::{Frame, Item};
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
@@ -144,7 +144,7 @@
     }
 
     /// A message of the server has passed. `text` is none if its content is not known.
-    pub fn server_message(&mut self, text: Option<&[u8]>, fields: &Fields) {
+    pub fn server_message(&mut self, text: Option<&[u8]>, fields: &ResumeFields) {
         let members = text.and_then(|text| read(text, fields)).unwrap_or_default();
         if let Some(ack) = members.ack {
             self.acknowledged = self.acknowledged.max(ack.min(self.client_messages));
@@ -170,14 +170,14 @@
 }
 
 /// Reads the id and the acknowledgement from a JSON object.
-fn read(text: &[u8], fields: &Fields) -> Option<Members> {
+fn read(text: &[u8], fields: &ResumeFields) -> Option<Members> {
     let mut deserializer = serde_json::Deserializer::from_slice(text);
     let members = MembersSeed(fields).deserialize(&mut deserializer).ok()?;
     deserializer.end().ok()?;
     Some(members)
 }
 
-struct MembersSeed<'f>(&'f Fields);
+struct MembersSeed<'f>(&'f ResumeFields);
 
 impl<'de> DeserializeSeed<'de> for MembersSeed<'_> {
     type Value = Members;
@@ -217,8 +217,8 @@
     use super::*;
     use bytes::Bytes;
 
-    fn fields() -> Fields {
-        Fields { id: Some("id".to_owned()), ack: Some("ack".to_owned()) }
+    fn fields() -> ResumeFields {
+        ResumeFields { id: Some("id".to_owned()), ack: Some("ack".to_owned()) }
     }
 
     /// A fragment boundary may cut a character, a message's end may not; any other invalid byte fails at once.
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,23 +1,23 @@
-//! `fawnstream`: a router for language-model requests, on sockets.
+//! The `fawnstream` program: a router for language-model requests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use fawnstream::program::{self, Failure};
+use fawnstream::program::{self, RunError};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("fawnstream: {failure}");
+        Err(error) => {
+            eprintln!("fawnstream: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), Failure> {
-    // Taken over before anything else is opened.
-    let told = std::env::var("PROXY_FD").ok().filter(|fd| !fd.is_empty());
-    let inherited = told.map(|fd| fawnstream_inherit::listener(&fd)).transpose()?;
+fn run() -> Result<(), RunError> {
+    // Taken over before any other descriptor is opened.
+    let inherited_fd = std::env::var("PROXY_FD").ok().filter(|fd| !fd.is_empty());
+    let inherited = inherited_fd.map(|fd| fawnstream_inherit::listener(&fd)).transpose()?;
     actix_rt::System::new().block_on(program::run(inherited))
 }
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -10,7 +10,7 @@
 
 use crate::core::{AttemptOrder, AttemptResult, Core, RepeatLimits, Server};
 use crate::exchange::{Call, ClientEnd, ClientLeft, Exchange};
-use crate::handover::{Carried, Form, Framing, Handover, Stays, Text};
+use crate::handover::{Base64Bytes, Framing, Handover, HandoverError, ReceivedStream, StreamState};
 use crate::headers::IDEMPOTENCY_KEY;
 use crate::log;
 use actix_http::error::ParseError;
@@ -114,10 +114,10 @@
     /// is left, or if the stream's state is invalid.
     pub fn take_over(
         self: &Rc<Self>,
-        carried: Carried,
+        carried: ReceivedStream,
         serve_client: impl FnOnce(ClientEnd, TcpStream) + 'static,
     ) -> Option<Box<dyn FnOnce()>> {
-        let Carried { form, client, server } = carried;
+        let ReceivedStream { state: form, client, server } = carried;
         let raw = RawConnection::new(server, form.framing, self.pool.permit()?)?;
         let events = EventBuffer::resume(form.event.0, form.done, form.kept, form.used)?;
         let class = self.core.names().classes.iter().position(|class| *class == form.class);
@@ -374,8 +374,8 @@
         events: &EventBuffer,
     ) -> Option<RelayEnd> {
         let log_kept =
-            |reason: &Stays| log!("handover kept id={} reason={reason}", order.exchange.call.label);
-        let call = match self.handover.call().await {
+            |reason: &HandoverError| log!("handover kept id={} reason={reason}", order.exchange.call.label);
+        let call = match self.handover.connect().await {
             Ok(call) => call,
             Err(reason) => {
                 log_kept(&reason);
@@ -385,21 +385,21 @@
         let framing = source.framing()?;
         // The client's side comes first: if it cannot give up its connection, nothing has changed.
         let client = order.exchange.detach_client().await?;
-        let form = Form {
+        let form = StreamState {
             label: order.exchange.call.label.clone(),
             class: self.core.class_name(order.exchange.call.class).to_owned(),
             server: order.server.label.clone(),
             address: order.server.address,
             age_ms: order.exchange.call.arrived.elapsed().as_millis() as u64,
             framing: framing.clone(),
-            event: Text(events.partial.to_vec()),
+            event: Base64Bytes(events.partial.to_vec()),
             done: events.done,
             kept: events.cached_tokens,
             used: events.usage,
             bill: self.core.bill(&order.exchange.call),
         };
         let server = source.detach()?;
-        match call.give(&form, &client, &server).await {
+        match call.send(&form, &client, &server).await {
             Ok(()) => Some(RelayEnd::HandedOver),
             Err(reason) => {
                 log_kept(&reason);
@@ -763,7 +763,7 @@
 
 /// Waits until streams are to be handed over, and then until `next_offer`.
 async fn offer_due(handover: &Handover, next_offer: Instant) {
-    handover.due().await;
+    handover.started().await;
     actix_rt::time::sleep_until(next_offer.into()).await;
 }
 
--- a/router/src/servers/events.rs
+++ b/router/src/servers/events.rs
@@ -109,7 +109,7 @@
                 .ok()
                 .and_then(|mut value: serde_json::Value| value.as_object_mut()?.remove("usage"));
             info.cached_tokens = usage.as_ref().and_then(cached_tokens);
-            info.usage = usage.as_ref().and_then(usage::tokens);
+            info.usage = usage.as_ref().and_then(usage::parse_tokens);
         }
     } else if line.first() == Some(&b':') {
         // A comment. A report that cannot be parsed is ignored, and does not make the stream invalid.
--- a/router/src/servers/framing.rs
+++ b/router/src/servers/framing.rs
@@ -3,7 +3,7 @@
 //! answer. This guards against all four: it passes on only complete and valid heads and chunks of limited size, and
 //! nothing after the end of the answer.
 
-use crate::handover::{Framing, Text};
+use crate::handover::{Base64Bytes, Framing};
 
 /// Largest head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
@@ -69,7 +69,7 @@
             State::Trailer => (None, true),
             _ => return None,
         };
-        Some(Framing { missing, trailer, held: Text(self.buffer.clone()) })
+        Some(Framing { missing, trailer, held: Base64Bytes(self.buffer.clone()) })
     }
 
     /// Resumes an answer that another process handed over. `None` if the state is invalid.
--- a/router/src/servers/upgrade.rs
+++ b/router/src/servers/upgrade.rs
@@ -85,7 +85,7 @@
     let connector = awc::Connector::new().timeout(connect_timeout).limit(1);
     let client = awc::Client::builder()
         .connector(connector)
-        .timeout(connect_timeout + limits.upgrade)
+        .timeout(connect_timeout + limits.upgrade_timeout)
         .max_http_version(awc::http::Version::HTTP_11)
         .disable_redirects()
         .no_default_headers()
@@ -93,7 +93,7 @@
     let mut upgrade = client
         .ws(format!("ws://{}{}", server.address, request.target))
         .address(server.address)
-        .max_frame_size(limits.frame);
+        .max_frame_size(limits.max_frame_bytes);
     if !request.protocols.is_empty() {
         upgrade = upgrade.protocols(&request.protocols);
     }
@@ -110,6 +110,6 @@
         return Err(failed(AttemptOutcome::MayHaveRun, "bad-extension"));
     }
     let parts = framed.into_parts();
-    let stream = WebSocketStream::new(Box::new(parts.io), parts.read_buf, limits.frame, false);
+    let stream = WebSocketStream::new(Box::new(parts.io), parts.read_buf, limits.max_frame_bytes, false);
     Ok(Upstream { stream, protocol })
 }
