--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -62,7 +62,7 @@
             verdict,
             evidence: Evidence::Server,
             settled: false,
-            kept: None,
+            cached_tokens: None,
             report: None,
         })
     };
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -226,8 +226,8 @@
     fields.check_count(7, 7, "7 entry")?;
     let state = match fields.text("state")?.as_str() {
         "active" => ServerState::Active,
-        "leaving" => ServerState::Leaving,
-        "left" => ServerState::Left,
+        "leaving" => ServerState::Draining,
+        "left" => ServerState::Removed,
         other => return Err(fields.error("state", format!("unknown state `{other}`"))),
     };
     let cell = CellId(fields.integer("cluster")?);
@@ -287,7 +287,7 @@
         // The simulator reports how an attempt really ended.
         evidence: Evidence::Server,
         settled,
-        kept,
+        cached_tokens: kept,
         report,
     }))
 }
--- a/fleet/src/discovery_calls.rs
+++ b/fleet/src/discovery_calls.rs
@@ -16,12 +16,12 @@
 /// leaves 500 ms.
 pub const MAX_FIRST_DELAY: Duration = Duration::from_millis(400);
 /// A change counts as known to the router this long after discovery had it and was reachable, even if calls failed.
-pub const NEWS_DEADLINE: Duration = Duration::from_secs(6);
+pub const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 /// A successful call is answered within this time if discovery can serve every router once per [`MAX_CALL_INTERVAL`]:
 /// then hardly any call is queued.
 pub const ANSWER_TIME: Duration = Duration::from_millis(1_200);
 /// Longest time from the start of a failed call to the start of the next, for any number of routers, so that a change
-/// which the failed call just missed arrives within [`NEWS_DEADLINE`].
+/// which the failed call just missed arrives within [`MAX_CHANGE_DELAY`].
 pub const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4_500);
 /// Backoff after a call that cost discovery nothing because nobody answered. Doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
@@ -31,7 +31,7 @@
 const MAX_REFUSED_BACKOFF: Duration = Duration::from_millis(3_000);
 
 /// A healthy discovery service sends an empty line every 2 s. A watch without one for this long is taken for dead and
-/// is opened anew; changes it missed count as known [`NEWS_DEADLINE`] after that.
+/// is opened anew; changes it missed count as known [`MAX_CHANGE_DELAY`] after that.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// Where the list comes from, which decides the timeouts and the delays between calls.
--- a/fleet/src/reachability.rs
+++ b/fleet/src/reachability.rs
@@ -240,7 +240,7 @@
     }
 
     /// The server that answered last and has not failed since, other than those in `excluded`.
-    pub fn last_answered(&self, excluded: &[u64]) -> Option<u64> {
+    pub fn last_reached(&self, excluded: &[u64]) -> Option<u64> {
         self.recent.iter().rev().copied().find(|id| !excluded.contains(id))
     }
 
--- a/fleet/src/start_times.rs
+++ b/fleet/src/start_times.rs
@@ -8,7 +8,7 @@
 
 /// Longest delay between a change and the news of it: a start stamped up to this long before the last up-to-date list
 /// is believed.
-pub const MAX_NEWS_DELAY: Duration = Duration::from_secs(6);
+pub const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 /// How long the start of a dropped server is remembered: if it comes back with the same stamp, it is the same process.
 pub const REMEMBER_FOR: Duration = Duration::from_secs(600);
 /// Most dropped servers whose starts are remembered.
@@ -97,6 +97,6 @@
 /// future, or from before a time when the list was up to date without this start, counts as a start just now.
 fn age(stamp: Duration, clocks: Clocks, current: Option<Duration>) -> Duration {
     let age = clocks.wall.saturating_sub(stamp).min(clocks.monotonic.saturating_sub(stamp));
-    let max_age = current.map(|current| clocks.monotonic.saturating_sub(current) + MAX_NEWS_DELAY);
+    let max_age = current.map(|current| clocks.monotonic.saturating_sub(current) + MAX_CHANGE_DELAY);
     if max_age.is_some_and(|max_age| age > max_age) { Duration::ZERO } else { age }
 }
--- a/fleet/tests/discovery_calls.rs
+++ b/fleet/tests/discovery_calls.rs
@@ -1,8 +1,8 @@
 //! Delays between discovery calls: short enough for each router, long enough for all of them together.
 
 use fawnstream_fleet::discovery_calls::{
-    ANSWER_TIME, CALL_INTERVAL, CallEnd, CallPacer, ListSource, MAX_CALL_INTERVAL, MAX_FIRST_DELAY,
-    NEWS_DEADLINE, WATCH_TIMEOUT,
+    ANSWER_TIME, CALL_INTERVAL, CallEnd, CallPacer, ListSource, MAX_CALL_INTERVAL, MAX_CHANGE_DELAY,
+    MAX_FIRST_DELAY, WATCH_TIMEOUT,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -78,7 +78,7 @@
 #[test]
 fn call_after_any_failure_meets_the_news_deadline() {
     assert!(
-        MAX_CALL_INTERVAL + ANSWER_TIME <= NEWS_DEADLINE - Duration::from_millis(200),
+        MAX_CALL_INTERVAL + ANSWER_TIME <= MAX_CHANGE_DELAY - Duration::from_millis(200),
         "with the delivery of the news"
     );
     for routers in [1, 3, 30, 300, 1_024, 10_000] {
@@ -141,7 +141,7 @@
     let source = ListSource::LocalAgent;
     let delay = source.cap_delay(Duration::from_secs(60));
     let third = WATCH_TIMEOUT + (delay + source.head_timeout()) * 2 + delay;
-    assert!(third + Duration::from_secs(1) <= NEWS_DEADLINE, "the third call begins after {third:?}");
+    assert!(third + Duration::from_secs(1) <= MAX_CHANGE_DELAY, "the third call begins after {third:?}");
     assert!(source.connect_timeout() <= source.head_timeout());
 }
 
@@ -155,6 +155,6 @@
     let mut calls = CallPacer::new(1_024, 1);
     for took in [ListSource::SharedService.connect_timeout(), ListSource::SharedService.head_timeout()] {
         let next = took + calls.next_delay(CallEnd::Unavailable, took);
-        assert!(next + ANSWER_TIME <= NEWS_DEADLINE, "{took:?}: the next begins after {next:?}");
+        assert!(next + ANSWER_TIME <= MAX_CHANGE_DELAY, "{took:?}: the next begins after {next:?}");
     }
 }
--- a/leases/src/release_calls.rs
+++ b/leases/src/release_calls.rs
@@ -115,7 +115,7 @@
         // The last round within the time limit starts with the server that answered most recently, since
         // unanswered calls may have left little room for more.
         if first && round + 1 >= ROUNDS_WITHIN_LIMIT {
-            let responsive = reach.last_answered(&excluded).filter(|server| !self.is_busy(*server));
+            let responsive = reach.last_reached(&excluded).filter(|server| !self.is_busy(*server));
             if responsive.is_some() {
                 return responsive;
             }
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -504,7 +504,7 @@
                     retired.push((member.server, old));
                 }
                 // Otherwise the list would grow with every server that ever joined.
-                if member.state == ServerState::Left {
+                if member.state == ServerState::Removed {
                     list.remove(&member.server);
                     self.start_times.borrow_mut().dropped(member.server.0, self.lease_time());
                 }
@@ -520,7 +520,7 @@
             let dropped = retired[..dropped].iter().map(|(id, _)| ServerUpdate {
                 server: *id,
                 kind: None,
-                state: ServerState::Left,
+                state: ServerState::Removed,
                 up_since: None,
             });
             let listed = members.iter().map(|member| ServerUpdate {
@@ -738,7 +738,8 @@
         }
         let (verdict, settled) = (Verdict::Ok, true);
         let evidence = Evidence::Server;
-        let outcome = Outcome { request, attempt, verdict, evidence, settled, kept: None, report: None };
+        let outcome =
+            Outcome { request, attempt, verdict, evidence, settled, cached_tokens: None, report: None };
         self.handle(Event::Outcome(outcome));
     }
 
@@ -862,7 +863,7 @@
             open.answered
         };
         let AttemptResult { kept, report, evidence, .. } = result;
-        let outcome = Outcome { request, attempt, verdict, evidence, settled, kept, report };
+        let outcome = Outcome { request, attempt, verdict, evidence, settled, cached_tokens: kept, report };
         self.handle(Event::Outcome(outcome));
         self.remove_if_finished(request);
     }
@@ -1098,7 +1099,7 @@
                     verdict,
                     evidence: Evidence::Router,
                     settled: false,
-                    kept: None,
+                    cached_tokens: None,
                     report: None,
                 };
                 core.handle(Event::Outcome(outcome));
--- a/router/src/list.rs
+++ b/router/src/list.rs
@@ -100,8 +100,8 @@
         cell: entry.cell,
         state: match entry.phase {
             Phase::Active => ServerState::Active,
-            Phase::Leaving => ServerState::Leaving,
-            Phase::Left => ServerState::Left,
+            Phase::Leaving => ServerState::Draining,
+            Phase::Left => ServerState::Removed,
         },
         up_since_ms: entry.up_since_ms,
     })
--- a/router/src/list/etcd.rs
+++ b/router/src/list/etcd.rs
@@ -238,6 +238,6 @@
 
     fn delete(&mut self, kv: &Kv) -> Option<Entry> {
         let entry = self.entries.remove(&self.server_id(&kv.key)?)?;
-        Some(Entry { state: ServerState::Left, ..entry })
+        Some(Entry { state: ServerState::Removed, ..entry })
     }
 }
--- a/router/src/live.rs
+++ b/router/src/live.rs
@@ -144,7 +144,7 @@
                     ServerState::Active if update.kind.is_some_and(|kind| settings.kinds.contains(&kind)) => {
                         sessions.server_listed(server, update.up_since.map(|up| up.0 / 1_000_000), now);
                     }
-                    ServerState::Left => sessions.server_draining(server, true, now),
+                    ServerState::Removed => sessions.server_draining(server, true, now),
                     _ => sessions.server_draining(server, false, now),
                 }
             }
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -110,7 +110,7 @@
         None => None,
     };
     let calls = fawnstream_fleet::discovery_calls::CallPacer::new(config.settings.routers, config.seed);
-    let manner = match config.settings.list_on_request {
+    let manner = match config.settings.subscribe_to_list {
         true => fawnstream_fleet::discovery_calls::ListSource::SharedService,
         false => fawnstream_fleet::discovery_calls::ListSource::LocalAgent,
     };
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -155,7 +155,7 @@
     core.connect_servers(ServerClient::new(core.clone(), links, sockets, terms, Handover::new(false)));
     let (updated_core, tracker) = (core.clone(), shared.tracker.clone());
     let on_update = move |update: Update| {
-        let draining = update.entries.iter().filter(|entry| entry.state == ServerState::Leaving);
+        let draining = update.entries.iter().filter(|entry| entry.state == ServerState::Draining);
         let draining: Vec<String> = draining.map(|entry| entry.id.clone()).collect();
         updated_core.apply_list(update);
         draining.iter().for_each(|server| tracker.record_applied(server));
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -192,7 +192,7 @@
                 Ok(Kind { role, memory_tokens: memory(index) })
             })
             .collect::<Result<_, String>>()?;
-        let list_on_request = match self.registry_mode.as_str() {
+        let subscribe_to_list = match self.registry_mode.as_str() {
             "pushed" => false,
             "on_request" => true,
             other => return Err(format!("registry_mode: unknown mode `{other}`")),
@@ -204,9 +204,9 @@
             router: self.self_index,
             max_attempts: self.ceilings.max_attempts,
             may_cancel: self.ceilings.cancel,
-            probed_reports: self.ceilings.probes && has_reports,
-            max_backoff: self.ceilings.retry_after.then_some(Span(self.ceilings.max_retry_after)),
-            list_on_request,
+            probes_enabled: self.ceilings.probes && has_reports,
+            refusal_backoff: self.ceilings.retry_after.then_some(Span(self.ceilings.max_retry_after)),
+            subscribe_to_list,
             writers_read: self.extra.local_read,
             over_share_worth: self.over_share_worth,
             rules: Rules {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -228,11 +228,11 @@
     /// Whether attempts that have not answered yet may be cancelled.
     pub may_cancel: bool,
     /// Whether answers to probes carry load reports.
-    pub probed_reports: bool,
+    pub probes_enabled: bool,
     /// Maximum retry delay advised in a refusal; `None` to advise none.
-    pub max_backoff: Option<Span>,
+    pub refusal_backoff: Option<Span>,
     /// Whether the router must subscribe to the list of servers.
-    pub list_on_request: bool,
+    pub subscribe_to_list: bool,
     /// Whether a writer without a state reads the prompt itself.
     pub writers_read: bool,
     /// Factor on the worth of a request beyond its tenant's quota.
@@ -291,9 +291,9 @@
     #[default]
     Active,
     /// Drains: finishes its requests and takes no new ones.
-    Leaving,
+    Draining,
     /// Removed.
-    Left,
+    Removed,
 }
 
 /// An entry of the list of servers.
@@ -434,7 +434,7 @@
     /// Whether the client has its final answer.
     pub settled: bool,
     /// Prompt tokens found in the server's prefix cache (with `Ok` and `Read`).
-    pub kept: Option<f64>,
+    pub cached_tokens: Option<f64>,
     /// The server's report, if any.
     pub report: Option<Report>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,9 +27,9 @@
 //!     router: 0,
 //!     max_attempts: 4,
 //!     may_cancel: true,
-//!     probed_reports: false,
-//!     max_backoff: None,
-//!     list_on_request: false,
+//!     probes_enabled: false,
+//!     refusal_backoff: None,
+//!     subscribe_to_list: false,
 //!     writers_read: false,
 //!     over_share_worth: 0.2,
 //!     rules: Rules {
@@ -73,7 +73,7 @@
 //!     verdict: Verdict::Read,
 //!     evidence: Evidence::Server,
 //!     settled: false,
-//!     kept: Some(0.0),
+//!     cached_tokens: Some(0.0),
 //!     report: None,
 //! };
 //! actions.clear();
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -300,7 +300,7 @@
             self.started = Some(now);
             let after = Span(1 + mix(self.seed) % TICK.0);
             out.push(Action::Timer { timer: TICK_TIMER, after });
-            if self.settings.list_on_request {
+            if self.settings.subscribe_to_list {
                 out.push(Action::Subscribe);
             }
         }
@@ -333,7 +333,7 @@
 
     /// Counts listed servers that get no requests now: draining, or recently silent, unreachable or full.
     pub fn excluded_servers(&self, now: Time) -> usize {
-        let listed = self.servers.values().filter(|server| server.member.state != ServerState::Left);
+        let listed = self.servers.values().filter(|server| server.member.state != ServerState::Removed);
         listed.filter(|server| !server.usable(now)).count()
     }
 
@@ -370,7 +370,7 @@
                 return;
             }
             Members::Full(entries) => {
-                self.servers.values_mut().for_each(|server| server.member.state = ServerState::Left);
+                self.servers.values_mut().for_each(|server| server.member.state = ServerState::Removed);
                 entries.iter().for_each(|entry| self.update_member(entry));
             }
             Members::Changes(entries) => entries.iter().for_each(|entry| self.update_member(entry)),
@@ -387,7 +387,7 @@
     /// Removes servers that left and have no attempt of ours in flight; else memory grows with each new id.
     fn remove_left(&mut self) {
         self.servers.retain(|id, server| {
-            let left = server.member.state == ServerState::Left;
+            let left = server.member.state == ServerState::Removed;
             left.then(|| self.reach.remove(id.0));
             !left || server.attempts > 0
         });
@@ -397,7 +397,7 @@
         let Some(kind) = self.settings.kinds.get(entry.kind.0) else { return };
         let (active, start) = (entry.state == ServerState::Active, entry.up_since.map_or(0, |up| up.0));
         self.reach.update(entry.server.0, entry.zone.0, active, start);
-        let drains = entry.state == ServerState::Leaving;
+        let drains = entry.state == ServerState::Draining;
         self.last_drain = drains.then_some(self.now).or(self.last_drain);
         let old = self.servers.get_mut(&entry.server);
         let same = |old: &Member| entry.up_since <= old.up_since && entry.kind == old.kind;
@@ -794,17 +794,17 @@
     }
 
     fn handle_outcome(&mut self, outcome: Outcome, out: &mut Vec<Action>) {
-        let Outcome { request: id, attempt, verdict, evidence, settled, kept: cached, report } = outcome;
+        let Outcome { request: id, attempt, verdict, evidence, settled, cached_tokens, report } = outcome;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.attempts == attempt.0 + 1) else { return };
         let (Some(at), stage) = (job.server.take(), job.stage) else { return };
         let was_read = self.end_attempt(id, at);
         self.note_report(at, report);
-        self.judge_server(id, at, verdict, cached);
+        self.judge_server(id, at, verdict, cached_tokens);
         if self.servers.get(&at).is_some_and(|server| server.last_heard == self.now) {
             let answered = evidence == Evidence::Server && verdict != Verdict::Reset;
             self.note_contact(at, if answered { Contact::Answered } else { Contact::Reachable });
         }
-        if self.servers.get(&at).is_some_and(|server| server.member.state == ServerState::Left) {
+        if self.servers.get(&at).is_some_and(|server| server.member.state == ServerState::Removed) {
             self.remove_left();
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -936,7 +936,7 @@
     fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let repeat = self.settings.classes[job.request.class.0].effect.repeat();
-        let backoff = self.settings.max_backoff;
+        let backoff = self.settings.refusal_backoff;
         if job.history.may_refuse(repeat, self.now.into(), backoff.unwrap_or_default().into()) {
             out.push(Action::Refuse { request: id, backoff });
         } else {
@@ -1001,7 +1001,7 @@
     /// Probes likely writers when a read begins, least recently probed first: their reports are fresh when
     /// the read ends, and the number of probes is proportional to our own requests.
     fn probe_writers(&mut self, reader: ServerId, out: &mut Vec<Action>) {
-        if !self.settings.probed_reports {
+        if !self.settings.probes_enabled {
             return;
         }
         let cell = self.servers.get(&reader).map(|s| s.member.cell);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,9 +12,9 @@
         router: 0,
         max_attempts: 6,
         may_cancel: true,
-        probed_reports: false,
-        max_backoff: None,
-        list_on_request: false,
+        probes_enabled: false,
+        refusal_backoff: None,
+        subscribe_to_list: false,
         writers_read: false,
         over_share_worth: 0.2,
         rules: Rules {
@@ -118,7 +118,7 @@
             verdict,
             evidence: Evidence::Server,
             settled: verdict == Verdict::Ok,
-            kept,
+            cached_tokens: kept,
             report: None,
         }))
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -306,7 +306,7 @@
         let start = fleet.now;
         let mut entries: Vec<Member> =
             (5..=READERS).map(|server| member(server, 0, (server - 1) / 2)).collect();
-        entries.iter_mut().for_each(|entry| entry.state = ServerState::Left);
+        entries.iter_mut().for_each(|entry| entry.state = ServerState::Removed);
         // Replacements under new ids that the simulation treats as readers.
         let fresh = [0, 201, 202, 203, 204, 205]
             .map(|id| Member { up_since: Some(Time(start)), ..member(id, 0, id % 5) });
@@ -370,7 +370,7 @@
         fleet.run(5);
         let home = fleet.busiest_reader();
         let mut entry = member(home, 0, (home - 1) / 2);
-        entry.state = ServerState::Leaving;
+        entry.state = ServerState::Draining;
         let start = fleet.now;
         fleet.update_list(&[entry]);
         fleet.run(5);
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -74,7 +74,7 @@
 impl Model {
     fn new(effect: Effect) -> Self {
         let mut config = settings(effect);
-        config.max_backoff = Some(Span::from_millis(BACKOFF_MS));
+        config.refusal_backoff = Some(Span::from_millis(BACKOFF_MS));
         let readers = (1..=3).map(|id| member(id, 0, cell(id)));
         let writers = (11..=14).map(|id| member(id, 1, cell(id)));
         let harness = Harness::new(config, readers.chain(writers).collect());
@@ -103,8 +103,15 @@
         let verdict = if real.written { verdict } else { Verdict::NoRoute };
         let settled = verdict == Verdict::Ok || open.answered;
         open.answered |= settled;
-        let outcome =
-            Outcome { request: RequestId(id), attempt, verdict, evidence, settled, kept: None, report: None };
+        let outcome = Outcome {
+            request: RequestId(id),
+            attempt,
+            verdict,
+            evidence,
+            settled,
+            cached_tokens: None,
+            report: None,
+        };
         let actions = self.harness.handle(Event::Outcome(outcome));
         self.apply(actions);
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -133,7 +133,7 @@
     {
         let mut config = settings(Effect::Keyed(DedupScope::All, Span::from_millis(2_000)));
         config.max_attempts = 2;
-        config.max_backoff = Some(Span::from_millis(backoff));
+        config.refusal_backoff = Some(Span::from_millis(backoff));
         let mut harness = Harness::new(config, fleet());
         harness.request(1, None);
         harness.end_attempt(1, 0, Verdict::Read);
@@ -165,8 +165,15 @@
         harness.request(1, None);
         harness.now += 5_000 * MS;
         let (request, attempt) = (RequestId(1), Attempt(0));
-        let outcome =
-            Outcome { request, attempt, verdict, evidence, settled: false, kept: None, report: None };
+        let outcome = Outcome {
+            request,
+            attempt,
+            verdict,
+            evidence,
+            settled: false,
+            cached_tokens: None,
+            report: None,
+        };
         let done = harness.handle(Event::Outcome(outcome));
         assert_eq!(refused(&done), evidence == Evidence::Server, "{effect:?} {verdict:?}: {done:?}");
         assert_eq!(failed(&done), evidence == Evidence::Router);
@@ -209,7 +216,7 @@
     let mut harness = Harness::new(settings(Effect::Safe), fleet());
     harness.request(1, None);
     let mut draining = fleet();
-    draining[2].state = ServerState::Leaving;
+    draining[2].state = ServerState::Draining;
     harness.handle(Event::Members(Members::Changes(draining)));
     assert_eq!(sent_to(&harness.end_attempt(1, 0, Verdict::Read)), vec![12]);
     harness.handle(Event::Members(Members::Full(vec![member(2, 0, 1), member(11, 1, 0)])));
@@ -357,7 +364,7 @@
                 if draining.remove(&server.server.0) {
                     entry.up_since = Some(Time(harness.now));
                 } else if draining.len() < 2 {
-                    entry.state = ServerState::Leaving;
+                    entry.state = ServerState::Draining;
                     draining.insert(server.server.0);
                 }
                 actions = harness.handle(Event::Members(Members::Changes(vec![entry])));
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -144,7 +144,7 @@
         verdict,
         evidence: Evidence::Server,
         settled: false,
-        kept: None,
+        cached_tokens: None,
         report: None,
     })
 }
--- a/tests/symptoms.rs
+++ b/tests/symptoms.rs
@@ -108,11 +108,11 @@
     };
     harness.request(1, None);
     assert!(sent_to(&harness.end_attempt(1, 0, Verdict::NoRoute)).is_empty(), "unreachable: excluded");
-    list(&mut harness, ServerState::Left);
+    list(&mut harness, ServerState::Removed);
     assert_eq!(sent_to(&list(&mut harness, ServerState::Active)).len(), 0, "tried there already");
     assert_eq!(sent_to(&harness.request(2, None)), vec![1], "its exclusion is forgotten");
     // Its state stays while an attempt of ours is in flight there.
-    list(&mut harness, ServerState::Left);
+    list(&mut harness, ServerState::Removed);
     harness.end_attempt(2, 0, Verdict::NoRoute);
     list(&mut harness, ServerState::Active);
     assert_eq!(sent_to(&harness.request(3, None)), vec![1]);
@@ -295,7 +295,7 @@
             verdict: Verdict::Read,
             evidence: Evidence::Server,
             settled: false,
-            kept: None,
+            cached_tokens: None,
             report: Some(Report { memory_share: 0.1 }),
         }));
     }
@@ -314,7 +314,7 @@
         vec![member(1, 0, 0), member(11, 1, 0), young, member(13, 1, 0)],
     );
     harness.now += 60_000 * MS;
-    let drains = Member { state: ServerState::Leaving, ..member(13, 1, 0) };
+    let drains = Member { state: ServerState::Draining, ..member(13, 1, 0) };
     harness.handle(Event::Members(Members::Changes(vec![drains])));
     let writers = |harness: &mut Harness, first: u64| -> Vec<u64> {
         let ids = first..first + 4;
@@ -397,7 +397,7 @@
 #[test]
 fn failed_list_call_is_retried_with_backoff() {
     let mut asking = settings(Effect::Safe);
-    asking.list_on_request = true;
+    asking.subscribe_to_list = true;
     let mut router = Router::new(asking, 1).expect("valid");
     let mut out = Vec::new();
     router.handle(Time(1), Event::Members(Members::Full(fleet())), &mut out);
@@ -467,7 +467,7 @@
 #[test]
 fn probes_are_proportional_to_own_reads() {
     let mut probed = settings(Effect::Safe);
-    probed.probed_reports = true;
+    probed.probes_enabled = true;
     let mut harness =
         Harness::new(probed, (0..40).map(|id| member(1 + id, (id % 2) as usize, id / 4)).collect());
     harness.advance(5_000);
@@ -544,7 +544,7 @@
     harness.router.add_connection_load(ServerId(other), 10_000.0);
     assert_eq!(place(&mut harness), Some(first));
     let mut leaving = member(first, 1, 0);
-    leaving.state = ServerState::Leaving;
+    leaving.state = ServerState::Draining;
     harness.handle(Event::Members(Members::Changes(vec![leaving])));
     assert_eq!(place(&mut harness), Some(other));
     assert_eq!(harness.router.place_connection(Time(harness.now), &[ServerId(first), ServerId(99)]), None);
