--- a/fleet/src/cells.rs
+++ b/fleet/src/cells.rs
@@ -1,5 +1,5 @@
-//! Balance of readers and writers per cell (racks that hold both). Computed from the list alone, so it also works where
-//! a router has too few requests of its own to see an overloaded cell.
+//! Balance of readers and writers per cell (servers that share fast links). Computed from the list alone, so it also
+//! works where a router has too few requests of its own to see an overloaded cell.
 
 use fnv::FnvHashMap;
 use std::collections::BTreeMap;
@@ -21,7 +21,6 @@
 /// The balance of each cell. Each server comes with its cell and `Some(true)` for a reader, `Some(false)` for a writer,
 /// `None` for others, which are not counted.
 pub fn cells(servers: impl Iterator<Item = (u64, Option<bool>)>) -> BTreeMap<u64, Cell> {
-    // Counted in a hash map, then sorted by cell.
     let mut counts: FnvHashMap<u64, [f64; 2]> = FnvHashMap::default();
     for (cell, reads) in servers {
         let count = counts.entry(cell).or_default();
--- a/fleet/src/discovery_calls.rs
+++ b/fleet/src/discovery_calls.rs
@@ -12,8 +12,8 @@
 /// Target time between the first calls of all routers, which start at once after a rollout. Most discovery services can
 /// take this rate.
 pub const FIRST_CALL_INTERVAL: Duration = Duration::from_millis(30);
-/// Longest delay of a first call. A drain counts as announced even if the router has not asked yet, and the drain rule
-/// leaves 500 ms.
+/// Longest delay of a first call. A draining server must get no new requests from 500 ms after its announcement, even
+/// if this router has not called yet.
 pub const MAX_FIRST_DELAY: Duration = Duration::from_millis(400);
 /// A change counts as known to the router this long after discovery had it and was reachable, even if calls failed.
 pub const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
--- a/fleet/src/reachability.rs
+++ b/fleet/src/reachability.rs
@@ -15,7 +15,7 @@
 /// Servers drawn at random for a choice, so that it needs no walk over the list. With a third of all servers
 /// unreachable, one choice in 6,000 draws no reachable one.
 const DRAWS: u64 = 8;
-/// Servers that answered last and are also candidates of a choice.
+/// Maximum number of recently reached servers that are also candidates.
 const MAX_RECENT: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -239,7 +239,7 @@
         best.or_else(|| self.servers.iter().map(|server| server.id).find(|id| !excluded.contains(id)))
     }
 
-    /// The server that answered last and has not failed since, other than those in `excluded`.
+    /// The server that was reached last and has not failed since, other than those in `excluded`.
     pub fn last_reached(&self, excluded: &[u64]) -> Option<u64> {
         self.recent.iter().rev().copied().find(|id| !excluded.contains(id))
     }
--- a/fleet/src/slow_start.rs
+++ b/fleet/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: which cold servers a request may use, and how often one router sends there. A server that has just
-//! started can do little and falls over when all routers together send it more than a multiple of that. No router sees
-//! what the others send.
+//! started can do little and is overloaded when all routers together send it more than a multiple of that. No router
+//! sees what the others send.
 //!
 //! Two bounds keep the sum in check. First, a request draws servers: only the first few in a rendezvous order weighted
 //! by warmth, the same at all routers, are eligible for it. So a cold server gets its share of all requests times the
@@ -30,7 +30,7 @@
     pub initial_share: f64,
     /// A server is warm after this many seconds at the latest.
     pub warmup_secs: f64,
-    /// A server falls over when it is sent more than this multiple of its current capacity.
+    /// A server is overloaded when it is sent more than this multiple of its current capacity.
     pub overload_multiple: f64,
 }
 
--- a/fleet/src/start_times.rs
+++ b/fleet/src/start_times.rs
@@ -43,20 +43,20 @@
 
 impl StartTimes {
     /// Records that the list names a server with this stamp (Unix time), and returns its start on the monotonic clock.
-    /// `current` is when the list was last known to be up to date before this news, or `None` as for the first list.
+    /// `last_synced` is when the list was last known to be up to date before this news, or `None` for the first list.
     pub fn listed(
         &mut self,
         server: u64,
         stamp: Duration,
         clocks: Clocks,
-        current: Option<Duration>,
+        last_synced: Option<Duration>,
     ) -> Duration {
         let known = self.starts.get_mut(&server);
         if let Some(start) = known.filter(|start| start.stamp == stamp || start.previous == Some(stamp)) {
             start.dropped = None;
             return start.at;
         }
-        let at = clocks.monotonic - age(stamp, clocks, current);
+        let at = clocks.monotonic - age(stamp, clocks, last_synced);
         let previous = self.starts.get(&server).map(|start| start.stamp);
         self.starts.insert(server, Start { stamp, previous, at, dropped: None });
         at
@@ -95,8 +95,8 @@
 
 /// How long ago a newly listed start happened. Either clock may be wrong, so the smaller age counts. A stamp in the
 /// future, or from before a time when the list was up to date without this start, counts as a start just now.
-fn age(stamp: Duration, clocks: Clocks, current: Option<Duration>) -> Duration {
+fn age(stamp: Duration, clocks: Clocks, last_synced: Option<Duration>) -> Duration {
     let age = clocks.wall.saturating_sub(stamp).min(clocks.monotonic.saturating_sub(stamp));
-    let max_age = current.map(|current| clocks.monotonic.saturating_sub(current) + MAX_CHANGE_DELAY);
+    let max_age = last_synced.map(|synced| clocks.monotonic.saturating_sub(synced) + MAX_CHANGE_DELAY);
     if max_age.is_some_and(|max_age| age > max_age) { Duration::ZERO } else { age }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -138,7 +138,7 @@
     pub memory_tokens: Option<f64>,
 }
 
-/// Which servers share the memory of idempotency keys by which repeats are dropped.
+/// Which servers deduplicate together: they share the record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers.
@@ -190,7 +190,7 @@
     pub aim: Span,
     /// Added to the aim per 1,000 prompt tokens.
     pub aim_per_1000: Span,
-    /// Worth of a request; the queue serves requests of most worth for their work first.
+    /// Value of a request; the queue serves the highest worth per prompt token first.
     pub worth: f64,
     /// Effect of running a request twice.
     pub effect: Effect,
@@ -227,9 +227,9 @@
     pub max_attempts: u32,
     /// Whether attempts that have not answered yet may be cancelled.
     pub may_cancel: bool,
-    /// Whether answers to probes carry load reports.
+    /// Whether to probe servers for load reports.
     pub probes_enabled: bool,
-    /// Maximum retry delay advised in a refusal; `None` to advise none.
+    /// Retry delay advised in refusals; `None` to advise none.
     pub refusal_backoff: Option<Span>,
     /// Whether the router must subscribe to the list of servers.
     pub subscribe_to_list: bool,
@@ -290,9 +290,9 @@
     /// Takes new requests.
     #[default]
     Active,
-    /// Drains: finishes its requests and takes no new ones.
+    /// Finishes its requests and takes no new ones.
     Draining,
-    /// Removed.
+    /// No longer in the service.
     Removed,
 }
 
@@ -353,7 +353,7 @@
         self.prompt_len + self.max_out
     }
 
-    /// Its part of a server's limit, which counts reads at a reader and tokens elsewhere.
+    /// What it uses of a server's limit, which counts reads at a reader and tokens elsewhere.
     pub fn cost(&self, role: Role) -> f64 {
         if role == Role::Reader { 1.0 } else { self.max_tokens() }
     }
@@ -370,7 +370,7 @@
 pub enum Verdict {
     /// Answered to the end.
     Ok,
-    /// The prompt was read; the reader holds the state.
+    /// The prompt was read; the reader holds its KV cache (the state) until a writer fetches it.
     Read,
     /// The server answered with an error; the request may have run.
     Error,
@@ -393,7 +393,7 @@
     Closed,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// Not sent, or rejected by a working server as unusable; it never ran, and no retry can help.
     Moot,
     /// Its state had to be released before the connection was up; it never ran.
     Expired,
@@ -429,7 +429,7 @@
     pub attempt: Attempt,
     /// How it ended.
     pub verdict: Verdict,
-    /// Whether the server or the router itself determined the end.
+    /// How the end became known.
     pub evidence: Evidence,
     /// Whether the client has its final answer.
     pub settled: bool,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -18,14 +18,14 @@
 mod silence;
 mod slow_start;
 
-/// Homes that a prefix gets, besides its first, for each reader's even share of all requests that it takes.
+/// Homes that a prefix gets, besides its first, per server's even share of all requests that use the prefix.
 const HOMES_PER_SHARE: f64 = 4.0;
 /// Interval at which queued requests and silent servers are checked; well below any aim or release time.
 const TICK: Span = Span::from_millis(40);
 /// A gap between two ticks of more than this many intervals means that this process was stalled.
 const STALL_TICKS: f64 = 2.5;
 /// A queued request is answered this long before its client gives up, so that the answer arrives in time.
-const ANSWER_MARGIN: Span = Span::from_millis(60);
+const QUEUE_MARGIN: Span = Span::from_millis(60);
 /// Share of a writer's memory by which another cell's writer must have more room: moving state is expensive.
 const CELL_MARGIN: f64 = 0.35;
 /// Memory in tokens where the settings give none; only ratios between servers matter then.
@@ -40,8 +40,8 @@
 const INITIAL_FILL: f64 = 0.9;
 /// Initial limit of reads per reader: most readers read a few prompts at once and queue some.
 const INITIAL_READS: f64 = 12.0;
-/// Share of the aim after which a read or a first token is late, which means that its servers are full.
-const LATE_SHARE: f64 = 0.45;
+/// Share of the aim above which a read or first token shows that servers are overloaded.
+const OVERLOAD_LATENCY_SHARE: f64 = 0.45;
 /// A writer reads a prompt itself only where there is room for this many such requests.
 const READ_ROOM: f64 = 24.0;
 /// Time without new requests for a server that rejected one as full, so that it is not flooded.
@@ -85,9 +85,9 @@
     memory: f64,
     /// Tokens expected in the prefix cache, by session and shared prefix.
     cached: PrefixCache,
-    attempts: u32,
+    attempts_in_flight: u32,
     /// This router's load in flight here, in the units of its limit.
-    in_flight: f64,
+    load_in_flight: f64,
     /// Tokens of our reads in flight here that are not expected to be cached.
     uncached: f64,
     /// Reported share of memory in use.
@@ -123,7 +123,8 @@
     arrived: Time,
     aim: Span,
     deadline: Time,
-    worth: f64,
+    /// Worth per prompt token; the length is rounded up to a power of two, so similar prompts stay in order.
+    priority: f64,
     stage: Stage,
     /// Server of the attempt in flight.
     server: Option<ServerId>,
@@ -170,7 +171,7 @@
     warmth: f64,
 }
 
-/// Servers as all choices at one moment see them.
+/// Data about all servers, computed once and shared by all choices at one moment.
 struct Snapshot<'a> {
     by_role: [Vec<(ServerId, &'a Server)>; 3],
     /// Usable servers of each role, computed on first use.
@@ -181,10 +182,11 @@
     loads: [(f64, f64); 2],
 }
 
+/// Latency of one role's servers, to the end of a read or to the first token.
 #[derive(Default)]
-struct Pool {
-    /// EWMA of the time to the end of a read or to the first token, in nanoseconds.
-    latency: f64,
+struct RoleLatency {
+    ewma_ns: f64,
+    /// Number of answers so far.
     answers: f64,
 }
 
@@ -194,7 +196,7 @@
     seed: u64,
     cold: SlowStart,
     /// Token buckets for requests to cold servers, by role.
-    cold_budgets: [ColdBucket; 3],
+    cold_buckets: [ColdBucket; 3],
     /// Requests sent so far, by role.
     sent: [f64; 3],
     servers: BTreeMap<ServerId, Server>,
@@ -203,13 +205,13 @@
     waiting: Vec<RequestId>,
     /// Recent requests per shared prefix.
     popularity: Popularity,
-    /// Most servers ever listed at once, by role.
-    max_listed: [usize; 3],
+    /// Most servers active at once so far, by role.
+    max_active: [usize; 3],
     quotas: Vec<Quota>,
-    pools: [Pool; 3],
+    latencies: [RoleLatency; 3],
     /// The limits on reads and on tokens.
     limits: [AdaptiveLimit; 2],
-    /// Factor on initial limits, above 1 where this router gets more than its even part of all requests.
+    /// Factor on initial limits, above 1 where this router gets more than its even share of all requests.
     limit_weight: f64,
     started: Option<Time>,
     /// When the list last showed a draining server.
@@ -234,19 +236,19 @@
         }
     }
 
-    fn listed(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.member.state == ServerState::Active
     }
 
     fn usable(&self, now: Time) -> bool {
-        self.listed()
+        self.is_active()
             && self.excluded_until <= now
             && self.half_open.is_none_or(|half_open| half_open.probe.is_none())
             && self.probation.is_none_or(|probation| probation.allows_send(now))
     }
 
     /// Records a sign of life.
-    fn note_heard(&mut self, now: Time) {
+    fn record_heard(&mut self, now: Time) {
         self.last_heard = now;
         (self.half_open, self.probation) = (None, None);
     }
@@ -256,7 +258,7 @@
         self.cached.longest_match((now - Time(0)).secs(), &request.cache_keys()).max(home)
     }
 
-    fn learn(&mut self, request: &Request, now: Time) {
+    fn record_cached(&mut self, request: &Request, now: Time) {
         self.cached.record_all((now - Time(0)).secs(), &request.cache_keys());
     }
 }
@@ -266,23 +268,23 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let Rules { cold_share: share, cold, fall_multiple: multiple, .. } = settings.rules;
-        let part = AdaptiveLimit::new(settings.routers);
+        let limit = AdaptiveLimit::new(settings.routers);
         let cold = SlowStart { initial_share: share, warmup_secs: cold.secs(), overload_multiple: multiple };
         Ok(Router {
             quotas: vec![Quota::default(); settings.tenants.len()],
             settings,
             seed,
             cold,
-            cold_budgets: Default::default(),
+            cold_buckets: Default::default(),
             sent: [0.0; 3],
             servers: BTreeMap::new(),
             reach: Reachability::default(),
             jobs: BTreeMap::new(),
             waiting: Vec::new(),
             popularity: Popularity::new(prefix_cache::TTL_SECS, prefix_cache::MAX_ENTRIES),
-            max_listed: [0; 3],
-            pools: Default::default(),
-            limits: [part, part],
+            max_active: [0; 3],
+            latencies: Default::default(),
+            limits: [limit, limit],
             limit_weight: 1.0,
             started: None,
             last_drain: None,
@@ -314,10 +316,10 @@
             Event::Timer(LIST_TIMER) => out.push(Action::Subscribe),
             Event::Timer(_) => {}
             Event::Probed { server, ok, report } => {
-                self.note_contact(server, if ok { Contact::Answered } else { Contact::Unanswered });
-                self.note_report(server, report.filter(|_| ok));
+                self.record_contact(server, if ok { Contact::Answered } else { Contact::Unanswered });
+                self.record_report(server, report.filter(|_| ok));
             }
-            Event::Activity(server) => self.note_activity(server),
+            Event::Activity(server) => self.record_activity(server),
             Event::LeaseReleased(request) => self.lease_released(request, out),
         }
     }
@@ -327,7 +329,7 @@
         &self.reach
     }
 
-    fn note_contact(&mut self, at: ServerId, how: Contact) {
+    fn record_contact(&mut self, at: ServerId, how: Contact) {
         self.reach.record(at.0, how, Duration::from_nanos(self.now.0));
     }
 
@@ -356,7 +358,7 @@
     /// Adds to a server's load for long-lived connections, or takes off if `tokens` is negative.
     pub fn add_connection_load(&mut self, at: ServerId, tokens: f64) {
         if let Some(server) = self.servers.get_mut(&at) {
-            server.in_flight = (server.in_flight + tokens).max(0.0);
+            server.load_in_flight = (server.load_in_flight + tokens).max(0.0);
         }
     }
 
@@ -375,21 +377,21 @@
             }
             Members::Changes(entries) => entries.iter().for_each(|entry| self.update_member(entry)),
         }
-        self.remove_left();
+        self.forget_removed();
         for role in [Role::Reader, Role::Writer, Role::Mixed] {
-            let listed = self.servers.values().filter(|s| s.role == role && s.listed()).count();
-            self.max_listed[role as usize] = self.max_listed[role as usize].max(listed);
+            let active = self.servers.values().filter(|s| s.role == role && s.is_active()).count();
+            self.max_active[role as usize] = self.max_active[role as usize].max(active);
         }
         self.list_backoff = LIST_BACKOFF;
         self.send_waiting(false, out);
     }
 
-    /// Removes servers that left and have no attempt of ours in flight; else memory grows with each new id.
-    fn remove_left(&mut self) {
+    /// Forgets removed servers without an attempt of ours in flight; else memory grows with each new id.
+    fn forget_removed(&mut self) {
         self.servers.retain(|id, server| {
-            let left = server.member.state == ServerState::Removed;
-            left.then(|| self.reach.remove(id.0));
-            !left || server.attempts > 0
+            let removed = server.member.state == ServerState::Removed;
+            removed.then(|| self.reach.remove(id.0));
+            !removed || server.attempts_in_flight > 0
         });
     }
 
@@ -409,8 +411,8 @@
         let mut server = Server::new(entry, kind);
         if let Some(old) = self.servers.get(&entry.server) {
             let same = f64::from(u8::from(old.role == server.role));
-            (server.attempts, server.in_flight, server.uncached) =
-                (old.attempts, same * old.in_flight, same * old.uncached);
+            (server.attempts_in_flight, server.load_in_flight, server.uncached) =
+                (old.attempts_in_flight, same * old.load_in_flight, same * old.uncached);
             server.last_heard = self.now;
         }
         server.allowance = Some(self.allowance(entry.server, server.role, start));
@@ -425,32 +427,31 @@
         };
         self.popularity.record((self.now - Time(0)).secs(), request.prefix.map(|key| key.0));
         let (id, aim) = (request.id, class.aim + class.aim_per_1000.times(request.prompt_len / 1000.0));
-        let (arrived, deadline, mut worth) = (self.now, self.now + request.budget, class.worth);
-        if self.over_share(request.tenant) {
-            worth *= self.settings.over_share_worth;
+        let (arrived, deadline, mut priority) = (self.now, self.now + request.budget, class.worth);
+        if self.exceeds_quota(request.tenant) {
+            priority *= self.settings.over_share_worth;
         }
-        // Read cost is rounded up to a power of two, so that prompts of similar size keep their order.
-        worth /= (request.prompt_len.max(1.0) as u64).next_power_of_two() as f64;
-        self.jobs.insert(id, Job { arrived, aim, deadline, worth, request, ..Job::default() });
+        priority /= (request.prompt_len.max(1.0) as u64).next_power_of_two() as f64;
+        self.jobs.insert(id, Job { arrived, aim, deadline, priority, request, ..Job::default() });
         self.enqueue(id);
         // A retry may arrive with almost no time left: refused here, else its attempt would be cut at once.
-        self.refuse_late(out);
+        self.refuse_expired(out);
         self.send_waiting(false, out);
     }
 
-    /// Whether a tenant is beyond this router's even part of its quota.
-    fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
+    /// Whether a tenant is beyond this router's share of its quota.
+    fn exceeds_quota(&mut self, tenant: Option<TenantId>) -> bool {
         let (now, routers) = (self.secs(), f64::from(self.settings.routers));
         let entry = tenant.and_then(|id| self.settings.tenants.get(id.0).zip(self.quotas.get_mut(id.0)));
         entry.is_some_and(|(tenant, quota)| !quota.take(now, tenant.quota_per_s / routers))
     }
 
-    /// Queues a request by worth; equal worth is first in, first out, or last in, first out while one of
+    /// Queues a request by priority; equal ones are first in, first out, or last in, first out while one of
     /// them has waited long: serving the oldest first would make it late, and then the fresh ones as well.
     fn enqueue(&mut self, id: RequestId) {
-        let worth = self.jobs[&id].worth;
-        let first = self.waiting.partition_point(|other| self.jobs[other].worth > worth);
-        let last = self.waiting.partition_point(|other| self.jobs[other].worth >= worth);
+        let priority = self.jobs[&id].priority;
+        let first = self.waiting.partition_point(|other| self.jobs[other].priority > priority);
+        let last = self.waiting.partition_point(|other| self.jobs[other].priority >= priority);
         let late = |id: &RequestId| self.now >= self.jobs[id].arrived + self.jobs[id].aim.times(MIN_WAIT);
         let newest_first = self.waiting[first..last].iter().any(late);
         self.waiting.insert(if newest_first { first } else { last }, id);
@@ -472,16 +473,16 @@
         if from >= self.waiting.len() {
             return None;
         }
-        let fleet = self.snapshot();
+        let snapshot = self.snapshot();
         for (position, id) in self.waiting.iter().enumerate().skip(from) {
             let job = &self.jobs[id];
-            if !self.has_room(false, fleet.loads[1], job.request.max_tokens()) {
+            if !self.has_room(false, snapshot.loads[1], job.request.max_tokens()) {
                 return None;
             }
             if !include_awaiting && job.awaited.get().is_some_and(|server| self.at_limit(server, job)) {
                 continue;
             }
-            if let Some((to, stage)) = self.choose_next(job, &fleet) {
+            if let Some((to, stage)) = self.choose_next(job, &snapshot) {
                 return Some((position, to, stage));
             }
         }
@@ -493,18 +494,18 @@
         self.servers.get(&at).filter(|server| server.usable(self.now)).is_some_and(|server| {
             let reads = server.role == Role::Reader;
             let limit = self.limit(reads, self.initial_limit(server), job.request.cost(server.role));
-            server.attempts > 0 && server.in_flight >= limit
+            server.attempts_in_flight > 0 && server.load_in_flight >= limit
         })
     }
 
-    /// This router's part of a limit that starts at `start` for all routers.
-    fn limit(&self, reads: bool, start: f64, one: f64) -> f64 {
-        self.limits[usize::from(!reads)].allowed(start, one)
+    /// This router's share of a limit that starts at `initial` for all routers.
+    fn limit(&self, reads: bool, initial: f64, cost: f64) -> f64 {
+        self.limits[usize::from(!reads)].allowed(initial, cost)
     }
 
     fn initial_limit(&self, server: &Server) -> f64 {
-        let start = if server.role == Role::Reader { INITIAL_READS } else { INITIAL_FILL * server.memory };
-        start * self.limit_weight
+        let initial = if server.role == Role::Reader { INITIAL_READS } else { INITIAL_FILL * server.memory };
+        initial * self.limit_weight
     }
 
     /// Load in flight and initial limit of usable servers: for readers, and for all others. A request being
@@ -512,32 +513,31 @@
     fn loads(&self) -> [(f64, f64); 2] {
         let mut totals = [(0.0, 0.0); 2];
         for server in self.servers.values() {
-            let (used, start) = &mut totals[usize::from(server.role != Role::Reader)];
-            *used += server.in_flight;
-            *start += if server.usable(self.now) { self.initial_limit(server) } else { 0.0 };
+            let (used, initial) = &mut totals[usize::from(server.role != Role::Reader)];
+            *used += server.load_in_flight;
+            *initial += if server.usable(self.now) { self.initial_limit(server) } else { 0.0 };
         }
         let reading = self.jobs.values().filter(|job| job.stage == Stage::Reading);
         totals[1].0 += reading.map(|job| job.request.max_tokens()).sum::<f64>();
-        totals.map(|(used, start)| (used, start.max(1.0)))
+        totals.map(|(used, initial)| (used, initial.max(1.0)))
     }
 
     /// Whether readers, or writers, have room for `need` more within this router's limit.
-    fn has_room(&self, reads: bool, (used, start): (f64, f64), need: f64) -> bool {
-        used < 1.0 || used + need <= self.limit(reads, start, need)
+    fn has_room(&self, reads: bool, (used, initial): (f64, f64), need: f64) -> bool {
+        used < 1.0 || used + need <= self.limit(reads, initial, need)
     }
 
     /// Adapts a limit: it grows while answers are quick and falls when they are late.
     fn adapt_limit(&mut self, id: RequestId, at: ServerId, late: bool) {
         let (Some(job), Some(server)) = (self.jobs.get(&id), self.servers.get(&at)) else { return };
-        let (reads, one) = (server.role == Role::Reader, job.request.cost(server.role));
-        let (used, start) = self.loads()[usize::from(!reads)];
-        self.limits[usize::from(!reads)].record_answer(late, used, start, one);
+        let (reads, cost) = (server.role == Role::Reader, job.request.cost(server.role));
+        let (used, initial) = self.loads()[usize::from(!reads)];
+        self.limits[usize::from(!reads)].record_answer(late, used, initial, cost);
     }
 
     // Choice of servers.
 
-    /// Computes once what is the same for all queued requests; computed for each of them, a queue of 100
-    /// took 6 ms per event at 100 servers.
+    /// Computed once, not per queued request: that took 6 ms per event with 100 in the queue and 100 servers.
     fn snapshot(&self) -> Snapshot<'_> {
         let mut by_role = [const { Vec::new() }; 3];
         self.servers.iter().for_each(|(id, server)| by_role[server.role as usize].push((*id, server)));
@@ -548,17 +548,18 @@
     }
 
     /// Usable servers of a role, computed on first use.
-    fn usable_servers<'a, 'l>(&'a self, role: Role, fleet: &'l Snapshot<'a>) -> &'l [Candidate<'a>] {
-        fleet.usable[role as usize].get_or_init(|| {
-            let peers = &fleet.by_role[role as usize];
+    fn usable_servers<'a, 'l>(&'a self, role: Role, snapshot: &'l Snapshot<'a>) -> &'l [Candidate<'a>] {
+        snapshot.usable[role as usize].get_or_init(|| {
+            let peers = &snapshot.by_role[role as usize];
             let mean = mean_load(self.secs(), peers.iter().map(|(_, s)| s.report));
-            let (starts, others) = (self.start_times(role), f64::from(self.settings.routers).sqrt());
-            // The more routers there are, the less one read of ours says about the load.
-            let own = peers.iter().map(|(_, s)| f64::from(s.attempts)).sum::<f64>();
+            let (starts, prior) = (self.start_times(role), f64::from(self.settings.routers).sqrt());
+            // A prior that grows with the number of routers: our reads are then a smaller sample of the load.
+            let own = peers.iter().map(|(_, s)| f64::from(s.attempts_in_flight)).sum::<f64>();
             let candidate = |&(id, server): &(ServerId, &'a Server)| {
-                let penalty = FAULT_WEIGHT * self.penalty(server, &fleet.reach);
-                let load = self.load(server, f64::from(server.attempts) / (own + others), mean) + penalty;
-                let (fullness, warmth) = (self.fullness(server, mean, &fleet.reach), self.warmth(server));
+                let penalty = FAULT_WEIGHT * self.penalty(server, &snapshot.reach);
+                let load =
+                    self.load(server, f64::from(server.attempts_in_flight) / (own + prior), mean) + penalty;
+                let (fullness, warmth) = (self.fullness(server, mean, &snapshot.reach), self.warmth(server));
                 let rollout_risk = ROLLOUT_WEIGHT * younger_share(&starts, &server.member.up_since);
                 Candidate { id, server, load, fullness, rollout_risk, warmth }
             };
@@ -570,15 +571,15 @@
         (self.now - Time(0)).secs()
     }
 
-    /// A server's load: its report while fresh, else the larger of our estimate and its peers' mean report.
+    /// A server's load: its report, fading with age to the larger of our estimate and its peers' mean report.
     fn load(&self, server: &Server, own: f64, mean: f64) -> f64 {
         server.report.load(self.secs(), own.max(mean))
     }
 
     /// The reader or mixed server with the best cached share minus load, and its expected cached tokens.
-    fn best_match<'a>(&'a self, role: Role, job: &Job, fleet: &Snapshot<'a>) -> Option<(ServerId, f64)> {
-        let among = self.candidates(role, job, fleet);
-        let homes = self.homes(job, &among, fleet);
+    fn best_match<'a>(&'a self, role: Role, job: &Job, snapshot: &Snapshot<'a>) -> Option<(ServerId, f64)> {
+        let among = self.candidates(role, job, snapshot);
+        let homes = self.homes(job, &among, snapshot);
         let session = job.request.session.map_or(job.request.id.0, |key| key.0);
         let prompt = job.request.prompt_len.max(1.0);
         let score = |c: &Candidate| {
@@ -592,22 +593,22 @@
     }
 
     /// Servers assumed to cache a request's prefix: the first by rendezvous hashing, and more of them the
-    /// more requests use it, so that a hot prefix does not overload one server. All routers agree on order
-    /// and choice. Where a prefix looks popular at one router by chance, some sessions are read anew.
-    fn homes(&self, job: &Job, among: &[Candidate], fleet: &Snapshot) -> Vec<u64> {
+    /// more requests use it, so that a hot prefix does not overload one server. All routers rank alike,
+    /// but each estimates the number of homes; too many mean that sessions go to servers without the prefix.
+    fn homes(&self, job: &Job, among: &[Candidate], snapshot: &Snapshot) -> Vec<u64> {
         let Some(key) = job.request.prefix else { return Vec::new() };
         let weight = |c: &Candidate| {
-            let cell = fleet.cells.get(&c.server.member.cell.0).filter(|_| c.server.role == Role::Reader);
+            let cell = snapshot.cells.get(&c.server.member.cell.0).filter(|_| c.server.role == Role::Reader);
             (c.id.0, cell.map_or(1.0, |cell| cell.reader_weight))
         };
-        let part = self.popularity.likely_share(self.secs(), key.0);
-        let most = 1 + (part * HOMES_PER_SHARE * among.len() as f64) as usize;
+        let share = self.popularity.likely_share(self.secs(), key.0);
+        let most = 1 + (share * HOMES_PER_SHARE * among.len() as f64) as usize;
         rendezvous(key.0, among.iter().map(weight), most)
     }
 
-    /// A writer's fullness: our own load times the number of routers, its fresh report, and its faults.
+    /// A writer's fullness: its load, with ours times all routers as the estimate, plus weighted penalty.
     fn fullness(&self, server: &Server, mean: f64, reach: &View) -> f64 {
-        let own = server.in_flight * f64::from(self.settings.routers) / server.memory;
+        let own = server.load_in_flight * f64::from(self.settings.routers) / server.memory;
         self.load(server, own, mean) + FAULT_WEIGHT * self.penalty(server, reach)
     }
 
@@ -622,14 +623,14 @@
 
     /// The writer with most room, in the reader's cell unless another cell has far more. Where a cell has
     /// more readers than its writers can serve, the excess spills over to cells with fewer.
-    fn best_writer<'a>(&'a self, job: &Job, fleet: &Snapshot<'a>) -> Option<(ServerId, f64)> {
-        let mut among = self.candidates(Role::Writer, job, fleet);
+    fn best_writer<'a>(&'a self, job: &Job, snapshot: &Snapshot<'a>) -> Option<(ServerId, f64)> {
+        let mut among = self.candidates(Role::Writer, job, snapshot);
         if among.is_empty() {
-            among = self.candidates(Role::Mixed, job, fleet);
+            among = self.candidates(Role::Mixed, job, snapshot);
         }
         let cell = job.reader.and_then(|id| self.servers.get(&id)).map(|s| s.member.cell);
         let hash = mix(self.seed ^ job.request.id.0);
-        let crowd = |cell: CellId| fleet.cells.get(&cell.0).map_or(1.0, |cell| cell.relative_load);
+        let crowd = |cell: CellId| snapshot.cells.get(&cell.0).map_or(1.0, |cell| cell.relative_load);
         let spills_over = cell.is_some_and(|cell| fraction(hash) * crowd(cell) > 1.0);
         let score = |c: &Candidate| {
             let chance = -fraction(hash ^ mix(c.id.0)).ln();
@@ -644,27 +645,27 @@
     }
 
     /// Any warm writer that may take this request.
-    fn warm_writer(&self, job: &Job, fleet: &Snapshot) -> Option<(ServerId, f64)> {
+    fn warm_writer(&self, job: &Job, snapshot: &Snapshot) -> Option<(ServerId, f64)> {
         let eligible = |(id, server): &&(ServerId, &Server)| {
             let warm = server.usable(self.now) && self.warmth(server) >= 1.0;
             warm && !job.failed.contains(id) && self.may_run_at(*id, job) && self.may_probe(server, job)
         };
-        fleet.by_role[Role::Writer as usize].iter().find(eligible).map(|(id, _)| (*id, 0.0))
+        snapshot.by_role[Role::Writer as usize].iter().find(eligible).map(|(id, _)| (*id, 0.0))
     }
 
-    /// Sorted start times of a role's listed servers; empty unless a rollout is under way. Rollouts replace
+    /// Sorted start times of a role's active servers; empty unless a rollout is under way. Rollouts replace
     /// the longest-running servers first, and streams break with their process.
     fn start_times(&self, role: Role) -> Vec<Option<Time>> {
         let rollout = self.last_drain.filter(|at| self.now - *at <= ROLLOUT_WINDOW);
         let peers = rollout.into_iter().flat_map(|_| self.servers.values());
-        let peers = peers.filter(|s| s.role == role && s.listed());
+        let peers = peers.filter(|s| s.role == role && s.is_active());
         let mut starts: Vec<_> = peers.map(|s| s.member.up_since).collect();
         starts.sort_unstable();
         starts
     }
 
-    /// Whether a request may be sent to this server. A keyed request that may have run goes on, even to be
-    /// read, only where and while repeats are dropped.
+    /// Whether a request may be sent to this server. A keyed request that may have run is sent, even for a
+    /// read, only to servers in its deduplication scope and only within its window.
     fn may_run_at(&self, id: ServerId, job: &Job) -> bool {
         let effect = self.settings.classes[job.request.class.0].effect;
         let grouped = |first: ServerId| {
@@ -676,33 +677,34 @@
 
     /// Bias of a session towards or away from mixed servers, alike at all routers: its cache stays together.
     fn mixed_bias(&self, job: &Job) -> f64 {
-        let listed = || self.servers.values().filter(|s| s.listed());
-        let mixed = listed().filter(|s| s.role == Role::Mixed).count() as f64;
+        let active = || self.servers.values().filter(|s| s.is_active());
+        let mixed = active().filter(|s| s.role == Role::Mixed).count() as f64;
         let hash = fraction(job.request.session.map_or(job.request.id.0, |key| key.0));
-        if hash * (listed().count() as f64) < mixed { MIXED_BIAS } else { -MIXED_BIAS }
+        if hash * (active().count() as f64) < mixed { MIXED_BIAS } else { -MIXED_BIAS }
     }
 
     /// Chooses the next server and stage: a mixed server for the whole request where that is better, else a
     /// reader. `None` if no server may take it now.
-    fn choose_next<'a>(&'a self, job: &Job, fleet: &Snapshot<'a>) -> Option<(ServerId, Stage)> {
+    fn choose_next<'a>(&'a self, job: &Job, snapshot: &Snapshot<'a>) -> Option<(ServerId, Stage)> {
         let attempts_left = self.settings.max_attempts.saturating_sub(job.attempts);
-        let read_room = self.has_room(true, fleet.loads[0], 1.0);
+        let read_room = self.has_room(true, snapshot.loads[0], 1.0);
         // Only readers could take it and they have no room: comparing servers would be wasted work.
-        let staged = self.usable_servers(Role::Mixed, fleet).is_empty() && !self.settings.writers_read;
+        let staged = self.usable_servers(Role::Mixed, snapshot).is_empty() && !self.settings.writers_read;
         if staged && !read_room {
             return None;
         }
-        let mixed = self.best_match(Role::Mixed, job, fleet);
-        let reader = if attempts_left >= 2 { self.best_match(Role::Reader, job, fleet) } else { None };
+        let mixed = self.best_match(Role::Mixed, job, snapshot);
+        let reader = if attempts_left >= 2 { self.best_match(Role::Reader, job, snapshot) } else { None };
         // The exact writer matters only against a mixed server, or where a writer may read.
-        let writer = self.warm_writer(job, fleet).filter(|_| staged).or_else(|| self.best_writer(job, fleet));
+        let writer =
+            self.warm_writer(job, snapshot).filter(|_| staged).or_else(|| self.best_writer(job, snapshot));
         // Reading at a writer is the last resort, since its running answers stall meanwhile.
-        let has_spare_room = || self.has_room(false, fleet.loads[1], READ_ROOM * job.request.max_tokens());
+        let has_spare_room = || self.has_room(false, snapshot.loads[1], READ_ROOM * job.request.max_tokens());
         let writer_may_read = self.settings.writers_read && attempts_left >= 1 && has_spare_room();
         let (to, stage) = match (mixed, reader, writer) {
             (Some((m, mixed_cached)), Some((r, reader_cached)), Some((_, room))) => {
                 let more_cached = (mixed_cached - reader_cached) / job.request.prompt_len.max(1.0);
-                let candidate = self.usable_servers(Role::Mixed, fleet).iter().find(|c| c.id == m);
+                let candidate = self.usable_servers(Role::Mixed, snapshot).iter().find(|c| c.id == m);
                 let whole = more_cached - candidate.map_or(0.0, |c| c.fullness) + self.mixed_bias(job) > room;
                 if whole { (m, Stage::Writing) } else { (r, Stage::Reading) }
             }
@@ -721,7 +723,7 @@
         let role = self.servers[&to].role;
         self.count_send(to, role);
         let (Some(job), Some(server)) = (self.jobs.get_mut(&id), self.servers.get_mut(&to)) else { return };
-        let usual = Span((self.pools[server.role as usize].latency * LATE_LATENCIES) as u64);
+        let usual = Span((self.latencies[server.role as usize].ewma_ns * LATE_LATENCIES) as u64);
         job.late_after = usual.max(job.aim.times(LATE_AIMS));
         job.overtaken = 0;
         (job.stage, job.server, job.sent, job.is_read) = (stage, Some(to), self.now, stage == Stage::Reading);
@@ -732,11 +734,11 @@
             half_open.probe = Some(id);
         }
         if let Some(probation) = &mut server.probation {
-            probation.note_send();
+            probation.record_send();
         }
         job.expected_cached = server.expected_cached(&job.request, self.now, false);
-        server.attempts += 1;
-        server.in_flight += job.request.cost(server.role);
+        server.attempts_in_flight += 1;
+        server.load_in_flight += job.request.cost(server.role);
         job.uncached = if stage == Stage::Reading {
             (job.request.prompt_len - job.expected_cached).max(0.0)
         } else {
@@ -747,11 +749,11 @@
             job.reader = Some(to);
         }
         if server.role != Role::Writer {
-            server.learn(&job.request, self.now);
+            server.record_cached(&job.request, self.now);
         }
         out.push(Action::Send { request: id, server: to, timeout: None });
         if stage == Stage::Reading {
-            self.probe_writers(to, out);
+            self.probe_servers(to, out);
         }
     }
 
@@ -764,28 +766,28 @@
             job.stage = Stage::Streaming;
         }
         job.has_lease = false;
-        self.note_answer(id, at);
-        self.note_contact(at, Contact::Answered);
+        self.record_answer(id, at);
+        self.record_contact(at, Contact::Answered);
         self.send_waiting(false, out);
     }
 
     /// Records an answer: latency, slowness compared with the role, sign of life, and the limit.
-    fn note_answer(&mut self, id: RequestId, at: ServerId) {
+    fn record_answer(&mut self, id: RequestId, at: ServerId) {
         let secs = self.secs();
         let (Some(job), Some(server)) = (self.jobs.get(&id), self.servers.get_mut(&at)) else { return };
         let took = self.now - job.sent;
-        let pool = &mut self.pools[server.role as usize];
-        if pool.latency == 0.0 {
-            pool.latency = took.0 as f64;
+        let latency = &mut self.latencies[server.role as usize];
+        if latency.ewma_ns == 0.0 {
+            latency.ewma_ns = took.0 as f64;
         }
-        let ratio = took.0 as f64 / pool.latency.max(1e6);
-        pool.latency = blend(pool.latency, took.0 as f64, EWMA_WEIGHT);
-        pool.answers += 1.0;
+        let ratio = took.0 as f64 / latency.ewma_ns.max(1e6);
+        latency.ewma_ns = blend(latency.ewma_ns, took.0 as f64, EWMA_WEIGHT);
+        latency.answers += 1.0;
         server.fault.add_sample(secs, (1.0 - SLOW_RATIO / ratio.max(SLOW_RATIO)).max(0.0));
-        server.note_heard(self.now);
+        server.record_heard(self.now);
         server.next_exclusion = silence::FIRST_EXCLUSION;
         server.excluded_until = server.excluded_until.min(self.now);
-        let late = took > job.aim.times(LATE_SHARE);
+        let late = took > job.aim.times(OVERLOAD_LATENCY_SHARE);
         let sent = job.sent;
         let waits =
             |job: &&mut Job| matches!(job.stage, Stage::Reading | Stage::Writing) && job.server == Some(at);
@@ -798,14 +800,14 @@
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.attempts == attempt.0 + 1) else { return };
         let (Some(at), stage) = (job.server.take(), job.stage) else { return };
         let was_read = self.end_attempt(id, at);
-        self.note_report(at, report);
+        self.record_report(at, report);
         self.judge_server(id, at, verdict, cached_tokens);
         if self.servers.get(&at).is_some_and(|server| server.last_heard == self.now) {
             let answered = evidence == Evidence::Server && verdict != Verdict::Reset;
-            self.note_contact(at, if answered { Contact::Answered } else { Contact::Reachable });
+            self.record_contact(at, if answered { Contact::Answered } else { Contact::Reachable });
         }
         if self.servers.get(&at).is_some_and(|server| server.member.state == ServerState::Removed) {
-            self.remove_left();
+            self.forget_removed();
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.history.end(verdict.proof(was_read, evidence));
@@ -823,11 +825,11 @@
     /// Subtracts an ended attempt from its server's load; true if it was a read.
     fn end_attempt(&mut self, id: RequestId, at: ServerId) -> bool {
         let (Some(job), Some(server)) = (self.jobs.get(&id), self.servers.get_mut(&at)) else { return false };
-        server.attempts = server.attempts.saturating_sub(1);
+        server.attempts_in_flight = server.attempts_in_flight.saturating_sub(1);
         if let Some(half_open) = server.half_open.as_mut().filter(|half_open| half_open.probe == Some(id)) {
             half_open.probe = None;
         }
-        server.in_flight = (server.in_flight - job.request.cost(server.role)).max(0.0);
+        server.load_in_flight = (server.load_in_flight - job.request.cost(server.role)).max(0.0);
         server.uncached = (server.uncached - job.uncached).max(0.0);
         job.is_read
     }
@@ -841,25 +843,24 @@
         let (now, silent) = (self.now, server.last_heard < job.sent);
         let client_left = job.stage == Stage::Over;
         match verdict {
-            // The client left mid-answer and the router ended the attempt: no fault of the server, and no
-            // sign of life either.
+            // The client left mid-answer, so the router ended the attempt: no server fault, no sign of life.
             Verdict::Ok if client_left => server.fault.add_sample(secs, 0.0),
             Verdict::Read => {
                 // Far fewer cached tokens than expected: the cache was flushed or evicted, so older entries
                 // are dropped. May lose matches where only a single entry was evicted.
                 if cached.is_some_and(|cached| cached < LOST_CACHE * job.expected_cached) {
                     server.cached.forget_before((job.sent - Time(0)).secs());
-                    server.learn(&job.request, now);
+                    server.record_cached(&job.request, now);
                 }
-                self.note_answer(id, at);
+                self.record_answer(id, at);
             }
             Verdict::Ok | Verdict::NoState | Verdict::Error | Verdict::Spoilt | Verdict::Reset => {
-                server.note_heard(now);
+                server.record_heard(now);
                 let healthy = matches!(verdict, Verdict::Ok | Verdict::NoState);
                 server.fault.add_sample(secs, f64::from(u8::from(!healthy)));
             }
             Verdict::Full => {
-                server.note_heard(now);
+                server.record_heard(now);
                 server.excluded_until = server.excluded_until.max(now + FULL_BACKOFF);
                 self.adapt_limit(id, at, true);
             }
@@ -894,7 +895,7 @@
         let repeatable = self.settings.classes[job.request.class.0].effect == Effect::Safe;
         let attempts_left = job.attempts + 2 <= self.settings.max_attempts;
         let untried = |(id, server): (&ServerId, &Server)| {
-            server.role != Role::Reader && server.listed() && !job.failed.contains(id)
+            server.role != Role::Reader && server.is_active() && !job.failed.contains(id)
         };
         attempts_left
             && (repeatable || job.history.first_possible_run().is_none())
@@ -911,8 +912,7 @@
         self.enqueue(id);
     }
 
-    /// Retries after a failed attempt: at another writer while the reader holds the state, else through the
-    /// queue, so that retries never become a storm.
+    /// Retries at another writer while the reader holds the state, else through the queue to prevent storms.
     fn retry(&mut self, id: RequestId, at: ServerId, verdict: Verdict, read: bool, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let repeat = self.settings.classes[job.request.class.0].effect.repeat();
@@ -921,8 +921,7 @@
         if !matches!(verdict, Verdict::NoState | Verdict::Full) {
             job.failed.push(at);
         }
-        let exhausted =
-            job.attempts >= self.settings.max_attempts || self.now + ANSWER_MARGIN >= job.deadline;
+        let exhausted = job.attempts >= self.settings.max_attempts || self.now + QUEUE_MARGIN >= job.deadline;
         if !repeatable || exhausted || verdict == Verdict::Moot {
             self.finish(id, out);
         } else if job.has_lease && !read && !state_lost {
@@ -978,36 +977,37 @@
                 self.exclude_silent_writers(out);
                 self.check_late_attempts(out);
             }
-            self.refuse_late(out);
+            self.refuse_expired(out);
             self.send_waiting(true, out);
         }
     }
 
     /// Refuses queued requests that can no longer be answered in time, before any work is spent on them.
-    fn refuse_late(&mut self, out: &mut Vec<Action>) {
-        let latency = Span((self.pools[0].latency + self.pools[1].latency) as u64);
-        let late = |id: &RequestId| {
+    fn refuse_expired(&mut self, out: &mut Vec<Action>) {
+        let latency = Span((self.latencies[0].ewma_ns + self.latencies[1].ewma_ns) as u64);
+        let expired = |id: &RequestId| {
             let job = &self.jobs[id];
             // A long prompt's extra aim is for reading it, not for waiting.
             let class = &self.settings.classes[job.request.class.0];
             let repeatable = job.history.may_repeat(class.effect.repeat(), self.now.into(), |_| true);
             let latest = job.arrived + (class.aim - latency).max(class.aim.times(MIN_WAIT));
-            self.now >= latest || self.now + ANSWER_MARGIN >= job.deadline || !repeatable
+            self.now >= latest || self.now + QUEUE_MARGIN >= job.deadline || !repeatable
         };
-        let late: Vec<_> = self.waiting.iter().copied().filter(late).collect();
-        late.into_iter().for_each(|id| self.finish(id, out));
+        let expired: Vec<_> = self.waiting.iter().copied().filter(expired).collect();
+        expired.into_iter().for_each(|id| self.finish(id, out));
     }
 
-    /// Probes likely writers when a read begins, least recently probed first: their reports are fresh when
-    /// the read ends, and the number of probes is proportional to our own requests.
-    fn probe_writers(&mut self, reader: ServerId, out: &mut Vec<Action>) {
+    /// Probes servers when a read begins: those of the reader's cell that write first, then all others, each
+    /// least recently probed first. Reports are fresh when the read ends; probes grow only with our requests.
+    fn probe_servers(&mut self, reader: ServerId, out: &mut Vec<Action>) {
         if !self.settings.probes_enabled {
             return;
         }
         let cell = self.servers.get(&reader).map(|s| s.member.cell);
-        let far = |s: &Server| s.role == Role::Reader || Some(s.member.cell) != cell;
-        let due = self.servers.iter().filter(|(_, s)| s.listed() && s.next_probe <= self.now);
-        let mut due: Vec<_> = due.map(|(id, s)| (far(s), s.next_probe, mix(self.seed ^ id.0), *id)).collect();
+        let unlikely = |s: &Server| s.role == Role::Reader || Some(s.member.cell) != cell;
+        let due = self.servers.iter().filter(|(_, s)| s.is_active() && s.next_probe <= self.now);
+        let mut due: Vec<_> =
+            due.map(|(id, s)| (unlikely(s), s.next_probe, mix(self.seed ^ id.0), *id)).collect();
         due.sort();
         for (.., id) in due.into_iter().take(MAX_PROBES) {
             if let Some(server) = self.servers.get_mut(&id) {
@@ -1017,7 +1017,7 @@
         }
     }
 
-    fn note_report(&mut self, at: ServerId, report: Option<Report>) {
+    fn record_report(&mut self, at: ServerId, report: Option<Report>) {
         let now = self.secs();
         if let (Some(server), Some(report)) = (self.servers.get_mut(&at), report) {
             server.report.update(now, report.memory_share);
--- a/src/logic/silence.rs
+++ b/src/logic/silence.rs
@@ -30,9 +30,9 @@
 
 /// An attempt is lost once its server answered this many later ones of ours: servers take requests in order.
 const LOST_AFTER_OVERTAKES: u32 = 3;
-/// Maximum divisor of the patience with a silent reader: several unanswered reads prove more than one.
-const MAX_PATIENCE_DIVISOR: u32 = 2;
-/// Number of equal parts of a server's peers; each part that is already excluded doubles the patience.
+/// Maximum divisor of a reader's timeout: several unanswered reads prove more than one.
+const MAX_TIMEOUT_DIVISOR: u32 = 2;
+/// Number of equal parts of a server's peers; each excluded part doubles the timeout.
 const PEER_PARTS: f64 = 5.0;
 /// First exclusion of a silent or unreachable server; doubles up to `MAX_EXCLUSION` while it stays so.
 pub(super) const FIRST_EXCLUSION: Span = Span::from_millis(1_500);
@@ -59,21 +59,21 @@
         self.sends_left > 0 || self.until <= now
     }
 
-    pub(super) fn note_send(&mut self) {
+    pub(super) fn record_send(&mut self) {
         self.sends_left = self.sends_left.saturating_sub(1);
     }
 }
 
 impl Router {
     /// Records a sign of life and ends an exclusion.
-    pub(super) fn note_activity(&mut self, at: ServerId) {
+    pub(super) fn record_activity(&mut self, at: ServerId) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&at) else { return };
         let was_excluded = server.half_open.is_some();
-        server.note_heard(now);
+        server.record_heard(now);
         if was_excluded {
             server.excluded_until = server.excluded_until.min(now);
-            self.note_contact(at, Contact::Answered);
+            self.record_contact(at, Contact::Answered);
         }
     }
 
@@ -87,9 +87,9 @@
     /// Longest silence allowed to a server of a role while attempts wait for it; `None` until the role's
     /// latency is known.
     fn max_silence(&self, role: Role) -> Option<Span> {
-        let pool = &self.pools[role as usize];
-        let longest = Span((pool.latency * SILENCE_LATENCIES) as u64);
-        (pool.answers >= MIN_ANSWERS).then(|| longest.max(MIN_SILENCE))
+        let latency = &self.latencies[role as usize];
+        let longest = Span((latency.ewma_ns * SILENCE_LATENCIES) as u64);
+        (latency.answers >= MIN_ANSWERS).then(|| longest.max(MIN_SILENCE))
     }
 
     /// Whether a server of a role is silent, from the times at which its unanswered attempts were sent.
@@ -97,7 +97,7 @@
         let Some(longest) = self.max_silence(role) else { return false };
         let Some(oldest) = sent.iter().min().map(|sent| self.now - *sent) else { return false };
         let recent_cut = self.last_silence[role as usize].is_some_and(|cut| self.now - cut <= CUT_WINDOW);
-        let latency = Span(self.pools[role as usize].latency as u64);
+        let latency = Span(self.latencies[role as usize].ewma_ns as u64);
         let late = |sent: &Time| (self.now - *sent - latency).min(longest).secs();
         let total_lateness: f64 = sent.iter().map(late).sum();
         oldest > longest && (recent_cut || total_lateness >= longest.secs() * TOTAL_LATENESS)
@@ -127,7 +127,7 @@
     }
 
     /// The state of a request was released during its attempt, so a retry must read it again. A writer
-    /// without a sign of life since the attempt, for longer than its peers take, is silent.
+    /// that has been silent since the attempt was sent, for longer than `max_silence`, is excluded.
     pub(super) fn lease_released(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.has_lease = false;
@@ -162,30 +162,34 @@
         }
     }
 
-    /// Excludes servers with an attempt later than its patience and no sign of life since (hung, dead or cut
-    /// off), and cancels what may be repeated. A single very long read can look like silence and is lost.
-    /// An attempt at a server that answers others is waited for: a cancel stops no running work, so a retry
-    /// elsewhere would only double the load. If several later ones overtook it, it is lost and cancelled too.
+    /// Excludes a server (hung, dead or cut off) if an attempt has passed its timeout and nothing was heard
+    /// from the server since the attempt was sent; cancels the attempt if it may be repeated. A very long
+    /// read can be mistaken for silence and cancelled. While a server answers other attempts, a late one is
+    /// left running: cancelling does not stop work on the server, and a retry elsewhere would double the
+    /// load. It is cancelled only if several later attempts were answered first.
     pub(super) fn check_late_attempts(&mut self, out: &mut Vec<Action>) {
         let mut silent = Vec::new();
-        // Each fifth of the peers that is excluded doubles the patience: many late servers mean high load.
-        let peers = self.servers.values().filter(|server| server.listed());
-        let doubt =
+        // Each fifth of the peers that is excluded doubles the timeout: many late servers mean high load.
+        let peers = self.servers.values().filter(|server| server.is_active());
+        let factors =
             timeout_factors(PEER_PARTS, peers.map(|s| (s.role as usize, s.excluded_until > self.now)));
         for (id, job) in &mut self.jobs {
             let is_unanswered = matches!(job.stage, Stage::Reading | Stage::Writing);
             let Some(at) = job.server.filter(|_| is_unanswered) else { continue };
             let Some(server) = self.servers.get(&at) else { continue };
-            let lost_after = Span((self.pools[server.role as usize].latency * LATE_LATENCIES) as u64);
+            let lost_after = Span((self.latencies[server.role as usize].ewma_ns * LATE_LATENCIES) as u64);
             let lost = job.overtaken >= LOST_AFTER_OVERTAKES && self.now - job.sent > lost_after;
             if server.last_heard >= job.sent && !lost {
                 continue;
             }
             // Several unanswered reads prove more than one; a writer's attempts include running streams.
-            let silent_reads =
-                if server.role == Role::Reader { server.attempts.clamp(1, MAX_PATIENCE_DIVISOR) } else { 1 };
-            let patience = job.late_after.times(doubt[server.role as usize] / f64::from(silent_reads));
-            if self.now - job.sent <= patience && !lost {
+            let divisor = if server.role == Role::Reader {
+                server.attempts_in_flight.clamp(1, MAX_TIMEOUT_DIVISOR)
+            } else {
+                1
+            };
+            let timeout = job.late_after.times(factors[server.role as usize] / f64::from(divisor));
+            if self.now - job.sent <= timeout && !lost {
                 continue;
             }
             if server.last_heard < job.sent {
@@ -202,7 +206,7 @@
     /// Excludes a server for a while, longer each time; after that it gets one request at a time until it
     /// shows a sign of life.
     pub(super) fn exclude(&mut self, at: ServerId, how: Contact) {
-        self.note_contact(at, how);
+        self.record_contact(at, how);
         let Some(server) = self.servers.get_mut(&at).filter(|s| s.excluded_until <= self.now) else { return };
         server.excluded_until = self.now + server.next_exclusion;
         server.next_exclusion = (server.next_exclusion + server.next_exclusion).min(MAX_EXCLUSION);
