--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -115,7 +115,7 @@
         None => None,
     };
     let call_pacer = fawnstream_fleet::discovery_calls::CallPacer::new(config.settings.routers, config.seed);
-    let list_source = match config.settings.list_on_request {
+    let list_source = match config.settings.subscribe_to_list {
         true => fawnstream_fleet::discovery_calls::ListSource::SharedService,
         false => fawnstream_fleet::discovery_calls::ListSource::LocalAgent,
     };
