--- a/leases/src/action.rs
+++ b/leases/src/action.rs
@@ -12,7 +12,7 @@
         /// released.
         write_by: Option<Duration>,
     },
-    /// It may start only after the request's [`Action::ReleasesEnded`]: a release in flight would remove the
+    /// It may start only after the request's [`Action::StopReleases`]: a release in flight would remove the
     /// state that this attempt needs.
     AfterRelease,
 }
@@ -71,7 +71,7 @@
     },
     /// The state is being released while an attempt is in flight that may never have arrived. The attempt
     /// goes on; if it does arrive it may find no state.
-    ReleasedUnderAttempt {
+    ReleasedDuringAttempt {
         /// The request.
         request: u64,
         /// The reader that holds the state.
@@ -80,7 +80,7 @@
         held: Duration,
     },
     /// Stop the request's release calls that are still in flight; an attempt that waits for them may start.
-    ReleasesEnded {
+    StopReleases {
         /// The request.
         request: u64,
         /// As in [`Permission::Now`].
@@ -113,7 +113,7 @@
     Conclusive,
     /// An attempt is in flight that may have been waiting for the state, so the release may have left it in
     /// place.
-    UnderAttempt,
+    DuringAttempt,
     /// The server of an ended attempt may not have noticed the end, so that the attempt was still waiting for
     /// the state; or a server concerned may be unreachable.
     Unconfirmed,
@@ -127,7 +127,7 @@
     /// An earlier release was answered, but may have had no effect.
     Repeated,
     /// An attempt is in flight that no server has answered.
-    UnderAttempt,
+    DuringAttempt,
 }
 
 /// Numbers of answered releases, by kind.
@@ -137,10 +137,11 @@
     pub needed: u64,
     /// See [`ReleaseKind::Repeated`].
     pub repeated: u64,
-    /// See [`ReleaseKind::UnderAttempt`].
-    pub under_attempt: u64,
-    /// Attempts that were waiting for a state after all while it was released.
-    pub in_vain: u64,
+    /// See [`ReleaseKind::DuringAttempt`].
+    pub during_attempt: u64,
+    /// Attempts that their server answered after a release during them had been answered: the attempt may
+    /// have been waiting for the state, so that the release had no effect.
+    pub without_effect: u64,
 }
 
 impl ReleaseCounts {
@@ -148,7 +149,7 @@
         match kind {
             ReleaseKind::Needed => self.needed += 1,
             ReleaseKind::Repeated => self.repeated += 1,
-            ReleaseKind::UnderAttempt => self.under_attempt += 1,
+            ReleaseKind::DuringAttempt => self.during_attempt += 1,
         }
     }
 }
--- a/leases/src/lease.rs
+++ b/leases/src/lease.rs
@@ -267,7 +267,7 @@
     /// Why the release that was just answered had been sent.
     pub(crate) fn release_kind(&self) -> ReleaseKind {
         match (self.attempt, self.released) {
-            (AttemptState::InFlight, _) => ReleaseKind::UnderAttempt,
+            (AttemptState::InFlight, _) => ReleaseKind::DuringAttempt,
             (_, true) => ReleaseKind::Repeated,
             _ => ReleaseKind::Needed,
         }
@@ -334,7 +334,7 @@
         reach: &Reachability,
     ) -> ReleaseProof {
         if self.attempt == AttemptState::InFlight {
-            return ReleaseProof::UnderAttempt;
+            return ReleaseProof::DuringAttempt;
         }
         let sent_after_ends = !call.attempt_ended_since && call.sent_at >= self.ends.noticed_by;
         let all_ends_noticed =
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -36,7 +36,7 @@
 //! that permits it; then exactly one of [`Leases::read_ended`], [`Leases::read_lost`],
 //! [`Leases::answer_began`] and [`Leases::attempt_ended`] for its end. It calls [`Leases::poll`] after each
 //! event and at [`Leases::next_due`], and [`Leases::release_ended`] once for each [`Action::SendRelease`]
-//! that no [`Action::ReleasesEnded`] of its request has stopped.
+//! that no [`Action::StopReleases`] of its request has stopped.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -158,7 +158,7 @@
         let limit = self.config.unattended_limit();
         let Some(lease) = self.leases.get_mut(&request) else { return };
         if end == AttemptEnd::Answered && lease.was_released_under_attempt() {
-            self.release_counts.in_vain += 1;
+            self.release_counts.without_effect += 1;
         }
         lease.end_attempt(server, end, now, &self.config);
         let due = match lease.phase {
@@ -304,7 +304,7 @@
                 lease.phase = Phase::ReleaseDue;
                 if lease.attempt != AttemptState::None {
                     let (reader, held) = (lease.reader, now.saturating_sub(lease.unattended_since));
-                    self.actions.push(Action::ReleasedUnderAttempt { request, reader, held });
+                    self.actions.push(Action::ReleasedDuringAttempt { request, reader, held });
                 }
             }
             Phase::Unconfirmed => lease.phase = Phase::ReleaseDue,
@@ -406,7 +406,7 @@
             lease.attempt = AttemptState::InFlight;
         }
         lease.asked.clear();
-        self.actions.push(Action::ReleasesEnded { request, write_by });
+        self.actions.push(Action::StopReleases { request, write_by });
         for call in lease.calls.drain(..) {
             self.calls.call_ended(call.server);
         }
--- a/leases/tests/model.rs
+++ b/leases/tests/model.rs
@@ -248,14 +248,14 @@
                     }
                     self.send_release(request, server, now);
                 }
-                Action::ReleasesEnded { request, write_by } => {
+                Action::StopReleases { request, write_by } => {
                     self.calls.retain(|call| call.request != request);
                     if let Some(RequestPhase::AwaitingRelease) = self.phases.get(&request) {
                         // The time for its connection starts here.
                         self.phases.insert(request, RequestPhase::Connecting { until: None, write_by });
                     }
                 }
-                Action::ReleasedUnderAttempt { request, held, .. } => {
+                Action::ReleasedDuringAttempt { request, held, .. } => {
                     assert!(held >= self.config.release_within / 2, "request {request} after {held:?}");
                     self.usable.insert(request, false);
                 }
--- a/leases/tests/transitions.rs
+++ b/leases/tests/transitions.rs
@@ -98,7 +98,7 @@
     assert!(sent <= 20_000, "{sent}: each lost read is released twice");
     assert_eq!(leases.late_count(), 0, "{now:?}");
     let counts = leases.release_counts();
-    assert_eq!((counts.needed, counts.repeated, counts.under_attempt), (10_000, 10_000, 0));
+    assert_eq!((counts.needed, counts.repeated, counts.during_attempt), (10_000, 10_000, 0));
 }
 
 #[test]
@@ -120,7 +120,7 @@
                     calls += 1;
                     leases.release_ended(request, server, ReleaseOutcome::Failed, now, &reach);
                 }
-                Action::ReleasesEnded { .. } | Action::ReleasedUnderAttempt { .. } => {}
+                Action::StopReleases { .. } | Action::ReleasedDuringAttempt { .. } => {}
             }
         }
     }
@@ -145,7 +145,7 @@
     leases.read_lost(1, &"a", 0, AttemptEnd::Unanswered, ms(0));
     assert_eq!(leases.attempt_starts(1, ms(0)), Permission::AfterRelease);
     let starts =
-        |actions: Vec<Action<_>>| actions.contains(&Action::ReleasesEnded { request: 1, write_by: None });
+        |actions: Vec<Action<_>>| actions.contains(&Action::StopReleases { request: 1, write_by: None });
     assert!(!(0..800).any(|now| starts(leases.poll(ms(now), &reach))));
     assert!(starts(leases.poll(ms(900), &reach)));
     assert!(
@@ -165,12 +165,12 @@
     assert_eq!(leases.attempt_starts(1, ms(5)), start_with_deadline(500));
     assert!(leases.poll(ms(499), &reach).is_empty());
     let actions = leases.poll(ms(500), &reach);
-    let expected = Action::ReleasedUnderAttempt { request: 1, reader: 0, held: ms(500) };
+    let expected = Action::ReleasedDuringAttempt { request: 1, reader: 0, held: ms(500) };
     assert!(actions.contains(&expected), "{actions:?}");
     assert_eq!(asked_servers(actions), [0]);
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(502), &reach);
     assert_eq!(answer_releases(&mut leases, &reach, 505, 2_500), [(1_000, 0), (1_500, 0), (2_000, 0)]);
-    assert_eq!(leases.release_counts().under_attempt, 4);
+    assert_eq!(leases.release_counts().during_attempt, 4);
     leases.answer_began(1, ms(2_500));
     assert!(leases.is_empty() && leases.next_due().is_none());
 }
@@ -217,7 +217,7 @@
     leases.attempt_starts(1, ms(5));
     assert_eq!(answer_releases(&mut leases, &reach, 10, 800), [(500, 0)]);
     leases.attempt_ended(1, 2, AttemptEnd::Answered, ms(800));
-    assert_eq!(leases.release_counts().in_vain, 1);
+    assert_eq!(leases.release_counts().without_effect, 1);
     leases.request_closed(1, ms(800));
     assert_eq!(answer_releases(&mut leases, &reach, 800, 3_000), [(800, 0)]);
     assert!(leases.is_empty());
@@ -317,7 +317,7 @@
     assert_eq!(asked_servers(leases.poll(ms(500), &reach)), [0]);
     assert_eq!(leases.attempt_starts(1, ms(500)), Permission::AfterRelease);
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(502), &reach);
-    let ended = Action::ReleasesEnded { request: 1, write_by: None };
+    let ended = Action::StopReleases { request: 1, write_by: None };
     assert!(leases.poll(ms(502), &reach).contains(&ended));
     leases.attempt_ended(1, 2, AttemptEnd::Unanswered, ms(520));
     leases.attempt_starts(1, ms(521));
@@ -403,7 +403,7 @@
     leases.attempt_starts(1, ms(0));
     assert_eq!(asked_servers(leases.poll(ms(500), &reach)), [0]);
     leases.answer_began(1, ms(500));
-    let ended = Action::ReleasesEnded { request: 1, write_by: None };
+    let ended = Action::StopReleases { request: 1, write_by: None };
     assert!(leases.poll(ms(501), &reach).contains(&ended));
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(502), &reach);
     assert!(leases.is_empty() && leases.next_due().is_none() && leases.late_count() == 0);
@@ -421,7 +421,7 @@
     assert_eq!(leases.attempt_starts(1, ms(501)), Permission::AfterRelease);
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(503), &reach);
     // The release may have had no effect, so the remaining state falls due again.
-    let ended = Action::ReleasesEnded { request: 1, write_by: Some(ms(1_000)) };
+    let ended = Action::StopReleases { request: 1, write_by: Some(ms(1_000)) };
     assert!(leases.poll(ms(503), &reach).contains(&ended));
     leases.read_ended(1, &"a", 2, ms(520));
     assert!(asked_servers(leases.poll(ms(1_019), &reach)).is_empty());
@@ -440,7 +440,7 @@
     assert_eq!(leases.attempt_starts(1, ms(5)), start_with_deadline(500));
     assert_eq!(asked_servers(leases.poll(ms(500), &reach)), [0]);
     leases.read_ended(1, &"a", 2, ms(510));
-    let ended = Action::ReleasesEnded { request: 1, write_by: None };
+    let ended = Action::StopReleases { request: 1, write_by: None };
     assert!(leases.poll(ms(510), &reach).contains(&ended));
     // The late answer proves nothing about the new state.
     leases.release_ended(1, 0, ReleaseOutcome::Answered, ms(511), &reach);
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -344,7 +344,7 @@
     }
 
     /// Sets what is called with updates of the server list, each time after the decision module.
-    pub fn connect_live(&self, callback: impl Fn(&[ServerUpdate]) + 'static) {
+    pub fn connect_list_updates(&self, callback: impl Fn(&[ServerUpdate]) + 'static) {
         *self.on_list_update.borrow_mut() = Some(Rc::new(callback));
     }
 
@@ -424,7 +424,7 @@
     }
 
     /// How long decisions took, in seconds.
-    pub fn decisions(&self) -> Option<Histogram> {
+    pub fn decision_times(&self) -> Option<Histogram> {
         self.decisions.clone()
     }
 
@@ -441,7 +441,7 @@
     }
 
     /// How many servers are listed, and how many of these the decision module excludes now.
-    pub fn targets(&self) -> (usize, usize) {
+    pub fn server_counts(&self) -> (usize, usize) {
         (self.list.borrow().len(), self.router.borrow().excluded_servers(self.now()))
     }
 
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -18,14 +18,14 @@
     /// Release calls in progress, by request.
     calls: RefCell<HashMap<u64, Vec<(ServerId, AbortOnDrop)>>>,
     /// Requests whose leases were released while an attempt was in flight.
-    under_attempt: Cell<u64>,
+    during_attempt: Cell<u64>,
     /// Those of them whose attempt was answered after all.
     needless: Cell<u64>,
 }
 
 impl Releases {
     fn count_under_attempt(&self) {
-        self.under_attempt.set(self.under_attempt.get() + 1);
+        self.during_attempt.set(self.during_attempt.get() + 1);
     }
 
     /// Counts an attempt that was answered although the state it needed had been released.
@@ -57,8 +57,8 @@
 
     /// How many requests had leases released while an attempt was in flight, and for how many of them the attempt was
     /// answered after all.
-    pub fn overdue_leases(&self) -> (u64, u64) {
-        (self.releases.under_attempt.get(), self.releases.needless.get())
+    pub fn during_attempt_counts(&self) -> (u64, u64) {
+        (self.releases.during_attempt.get(), self.releases.needless.get())
     }
 
     /// Carries out the lease actions that are due, and sets the timer for the next ones.
@@ -82,10 +82,10 @@
                         Some(server) => self.send_release(request, label, server),
                         None => unlisted.push((request, server)),
                     },
-                    Action::ReleasedUnderAttempt { request, reader, held } => {
+                    Action::ReleasedDuringAttempt { request, reader, held } => {
                         self.released_under_attempt(RequestId(request), reader, held);
                     }
-                    Action::ReleasesEnded { request, write_by } => {
+                    Action::StopReleases { request, write_by } => {
                         self.releases.calls.borrow_mut().remove(&request);
                         let mut requests = self.requests.borrow_mut();
                         if let Some(release_done) =
@@ -179,7 +179,7 @@
 fn proof_name(proof: ReleaseProof) -> &'static str {
     match proof {
         ReleaseProof::Conclusive => "conclusive",
-        ReleaseProof::UnderAttempt => "under-attempt",
+        ReleaseProof::DuringAttempt => "under-attempt",
         ReleaseProof::Unconfirmed => "unconfirmed",
     }
 }
--- a/router/src/core/repeats.rs
+++ b/router/src/core/repeats.rs
@@ -21,8 +21,8 @@
 pub struct RepeatLimits {
     /// Its first byte must be written by then; later the server might not recognise it as a repeat.
     pub begin_by: Instant,
-    /// It is given up then, unless something was received from its server since it was written.
-    pub unheard_until: Instant,
+    /// When it is given up, unless something was received from its server since it was written.
+    pub give_up_unheard_at: Instant,
     /// Whether its server must show that it runs before the first byte is written.
     pub needs_sign_of_life: bool,
 }
@@ -38,7 +38,7 @@
 
 impl RepeatCounts {
     /// Counts a check of whether a server runs.
-    pub fn count_asked(&self, answered: bool) {
+    pub fn count_run_check(&self, answered: bool) {
         let count = if answered { &self.shown } else { &self.not_shown };
         count.set(count.get() + 1);
     }
@@ -90,7 +90,7 @@
         }
         Some(RepeatLimits {
             begin_by: before_window_end(DELIVERY_TIME),
-            unheard_until: before_window_end(MAX_TRANSIT),
+            give_up_unheard_at: before_window_end(MAX_TRANSIT),
             needs_sign_of_life: !announced,
         })
     }
--- a/router/src/live.rs
+++ b/router/src/live.rs
@@ -101,7 +101,7 @@
             max_buffered_bytes,
         });
         let weak = Rc::downgrade(&live);
-        live.core.connect_live(move |updates| {
+        live.core.connect_list_updates(move |updates| {
             if let Some(live) = weak.upgrade() {
                 live.apply_list(updates);
             }
--- a/router/src/operators/figures.rs
+++ b/router/src/operators/figures.rs
@@ -56,16 +56,16 @@
     let violations = Invariant::ALL.iter().map(|rule| (rule.name(), core.violations().get(*rule)));
     page.by("invariant_violations", "Rules broken by this router; any is a fault.", "rule", violations);
     let (reloads, failed) = shared.reloads.get();
-    let (targets, disabled) = core.targets();
+    let (targets, disabled) = core.server_counts();
     page.counter("dispatches", "Attempts written whole to workers.", core.dispatches());
     page.gauge("concurrent", "Requests taken and not ended.", core.concurrent());
-    if let Some(decisions) = core.decisions() {
+    if let Some(decisions) = core.decision_times() {
         let _ = page.0.register(Box::new(decisions));
     }
     let (held, late) = core.lease_counts();
     page.gauge("holds", "Requests for which something is held at servers, or is being let go of.", held);
     page.counter("holds_late", "Requests for which something was held past the rule's time.", late);
-    let (overdue, needless) = core.overdue_leases();
+    let (overdue, needless) = core.during_attempt_counts();
     let help = "Requests of which what was held was let go of while a call was out that nobody had answered.";
     page.counter("holds_overdue", help, overdue);
     page.counter("holds_overdue_answered", "Those of them whose call was answered after all.", needless);
@@ -73,12 +73,12 @@
     let kinds = [
         ("needed", releases.needed),
         ("repeated", releases.repeated),
-        ("under_attempt", releases.under_attempt),
+        ("under_attempt", releases.during_attempt),
     ];
     let help = "Releases that servers answered, by what they were made for.";
     page.by("releases", help, "kind", kinds.into_iter());
     let help = "Attempts that had waited for a state that was released under them: that release was in vain.";
-    page.counter("releases_in_vain", help, releases.in_vain);
+    page.counter("releases_in_vain", help, releases.without_effect);
     let repeats = core.repeat_counts();
     let help = "Repeats of requests that may have run, by whether their worker showed first that it runs.";
     page.by("repeats", help, "sign", repeats.by_sign().into_iter());
--- a/router/src/servers.rs
+++ b/router/src/servers.rs
@@ -305,7 +305,7 @@
             }
             () = actix_rt::time::sleep(timeout) => Err(liveness::ProbeError::NoAnswer),
         };
-        self.core.repeat_counts().count_asked(result.is_ok());
+        self.core.repeat_counts().count_run_check(result.is_ok());
         match result {
             Ok(()) => {
                 order.server.last_heard.set(Some(Instant::now()));
@@ -619,7 +619,7 @@
 /// something shows that the server has read it.
 async fn repeat_window_over(repeat: Option<RepeatLimits>, server: &Server, connection: &ServerConnection) {
     if let Some(repeat) = repeat {
-        actix_rt::time::sleep_until(repeat.unheard_until.into()).await;
+        actix_rt::time::sleep_until(repeat.give_up_unheard_at.into()).await;
         if !connection.delivery().may_have_run() {
             // It may still begin until `begin_by`; `BeginCheck` reports one that has not begun by then.
             actix_rt::time::sleep_until(repeat.begin_by.into()).await;
