--- a/leases/src/action.rs
+++ b/leases/src/action.rs
@@ -28,10 +28,10 @@
     /// The server answered that it found no state. The reader did not say so: the server may be cut off from
     /// the reader.
     StateNotFound,
-    /// The server closed the connection cleanly without an answer. It may never have read the call.
+    /// The server closed the connection cleanly without an answer. It may never have read the attempt.
     Closed,
     /// No reply: the router gave the attempt up, or the connection was reset by the server or on the way. The
-    /// server may have received the call, and may not have noticed that it ended.
+    /// server may have received the attempt, and may not have noticed that it ended.
     Unanswered,
 }
 
@@ -139,8 +139,8 @@
     pub repeated: u64,
     /// See [`ReleaseKind::DuringAttempt`].
     pub during_attempt: u64,
-    /// Attempts that their server answered after a release during them had been answered: the attempt may
-    /// have been waiting for the state, so that the release had no effect.
+    /// Attempts that their server answered after a release during them: they may have been waiting for the
+    /// state, so the release had no effect.
     pub without_effect: u64,
 }
 
--- a/leases/src/config.rs
+++ b/leases/src/config.rs
@@ -50,7 +50,7 @@
 
     /// Time after which a server has either noticed the end of an attempt or is considered possibly
     /// unreachable.
-    pub(crate) fn end_noticed_within(&self) -> Duration {
+    pub(crate) fn notice_limit(&self) -> Duration {
         self.unattended_limit() * 3 / 4
     }
 
@@ -58,6 +58,6 @@
     /// the end of an attempt has been noticed, and rounds of releases have more time left than after
     /// [`Self::unattended_limit`], which applies while the state may still be needed.
     pub(crate) fn repeat_delay(&self) -> Duration {
-        self.end_noticed_within()
+        self.notice_limit()
     }
 }
--- a/leases/src/lease.rs
+++ b/leases/src/lease.rs
@@ -46,8 +46,8 @@
 }
 
 /// The end of an attempt that its server has not confirmed: the router gave the attempt up, or the connection
-/// broke. While the server's process is stopped it neither reads calls nor notices ends, whatever has become
-/// of the connection.
+/// broke. While the server's process is suspended it neither reads attempts nor notices ends, whatever has
+/// become of the connection.
 #[derive(Clone, Copy, Debug)]
 struct UnnoticedEnd {
     server: u64,
@@ -86,11 +86,11 @@
 
     fn record_unnoticed(&mut self, server: u64, is_read: bool, now: Duration, config: &LeaseConfig) {
         self.release_not_before = now + config.close_arrives_within;
-        self.noticed_by = self.noticed_by.max(now + config.end_noticed_within());
+        self.noticed_by = self.noticed_by.max(now + config.notice_limit());
         // A server that is both reader and writer may still read for an earlier attempt.
         let is_read = is_read || self.unnoticed.iter().any(|end| end.server == server && end.is_read);
         self.unnoticed.retain(|end| end.server != server);
-        let notice_limit = config.end_noticed_within();
+        let notice_limit = config.notice_limit();
         self.unnoticed.push(UnnoticedEnd { server, ended_at: now, is_read, running_at: None, notice_limit });
     }
 
@@ -142,7 +142,7 @@
     /// A release that was sent after the last attempt ended was answered.
     released_since_end: bool,
     /// A release was answered while the current attempt was in flight.
-    released_under_attempt: bool,
+    released_during_attempt: bool,
     /// After this time a possibly unreachable server no longer causes a repeated release.
     doubt_repeat_until: Option<Duration>,
     /// Servers asked in this release.
@@ -168,7 +168,7 @@
             ends: AttemptEnds::default(),
             released: false,
             released_since_end: false,
-            released_under_attempt: false,
+            released_during_attempt: false,
             doubt_repeat_until: None,
             asked: Vec::new(),
             calls: Vec::new(),
@@ -188,14 +188,14 @@
         self.attempt = AttemptState::None;
         self.released = false;
         self.released_since_end = false;
-        self.released_under_attempt = false;
+        self.released_during_attempt = false;
         self.doubt_repeat_until = None;
     }
 
     /// The request's attempt ended.
     pub(crate) fn end_attempt(&mut self, server: u64, end: AttemptEnd, now: Duration, config: &LeaseConfig) {
         self.attempt = AttemptState::None;
-        self.released_under_attempt = false;
+        self.released_during_attempt = false;
         if end == AttemptEnd::NotSent {
             return;
         }
@@ -207,7 +207,7 @@
                 self.unattended_since = now;
                 self.ends.record_noticed(now);
             }
-            // The call may never have arrived, in which case the state has been unattended all the time.
+            // The attempt may never have arrived, in which case the state has been unattended all the time.
             AttemptEnd::Closed => self.ends.record_noticed(now),
             AttemptEnd::Unanswered => self.ends.record_unnoticed(server, false, now, config),
         }
@@ -304,7 +304,7 @@
         self.released_since_end |= !call.attempt_ended_since;
         self.unattended_since = self.unattended_since.max(call.sent_at);
         match self.attempt {
-            AttemptState::InFlight => self.released_under_attempt = true,
+            AttemptState::InFlight => self.released_during_attempt = true,
             AttemptState::None | AttemptState::AwaitingRelease => {
                 self.doubt_repeat_until.get_or_insert(now + DOUBT_REPEAT_LIMIT);
             }
@@ -318,14 +318,14 @@
     }
 
     /// The state was released while the current attempt was in flight.
-    pub(crate) fn was_released_under_attempt(&self) -> bool {
-        self.released_under_attempt
+    pub(crate) fn was_released_during_attempt(&self) -> bool {
+        self.released_during_attempt
     }
 
     /// What the answer to a release proves. A release has no effect while an attempt waits for the state: one
     /// that is in flight, or one whose server has not noticed its end. The latter is unknown for a server
-    /// that may be unreachable, or that has sent nothing since and whose process may be stopped. A release is
-    /// also unconfirmed if the reader may be unreachable, because the server that answered may be cut off
+    /// that may be unreachable, or that has sent nothing since and whose process may be suspended. A release
+    /// is also unconfirmed if the reader may be unreachable, because the server that answered may be cut off
     /// from it.
     pub(crate) fn release_proof(
         &self,
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -3,34 +3,34 @@
 //! no clock, no I/O, no threads. Times are measured from a start that the caller chooses.
 //!
 //! A read leaves a state at its reader, and a writer's attempt fetches it. The limit on holding a state runs
-//! while no attempt is in flight at a running server. Two things are not known here: whether a call that was
-//! written has arrived, and whether a server has noticed that a call has ended. So **the answer to a release
-//! does not prove its effect**: a release drops only states that no attempt waits for, and every server
-//! answers it all the same.
+//! while no attempt is in flight at a running server. Two things are not known here: whether an attempt that
+//! was written has arrived, and whether a server has noticed that an attempt has ended. So **the answer to a
+//! release does not prove its effect**: a release drops only states that no attempt waits for, and every
+//! server answers it all the same.
 //!
 //! | phase | event | next | sentence of the operators' documentation |
 //! | --- | --- | --- | --- |
 //! | none | [read ended](Leases::read_ended) | held | "the read state then waits in its memory" |
 //! | none, any | [read lost](Leases::read_lost) | release due | "a read may have ended well at the very moment its connection was closed or broke" |
-//! | held | limit reached, whether or not an attempt is in flight | release due | "a send that has not arrived is not out: it does not stop that clock" |
+//! | held | unattended limit reached, whether or not an attempt is in flight | release due | "a send that has not arrived is not out: it does not stop that clock" |
 //! | held | [release](Leases::release), [request closed](Leases::request_closed) | release due | "REFUSE, FAIL and GONE release nothing" |
 //! | release due | a call may be sent | releasing | "`DELETE` releases everything held for the request, at any worker" |
 //! | releasing | answered, conclusive: when it was sent no attempt can have been waiting | none | "lets go of every state that is held for the request and that no attempt waits for" |
 //! | releasing | answered otherwise, or an attempt awaits the release | unconfirmed | the same: an attempt may have been waiting |
 //! | releasing | failed | releasing, the next server | "a machine that vanished says nothing" |
-//! | unconfirmed | limit reached again | release due | as for held: a state may be left that no attempt waits for |
+//! | unconfirmed | repeat due, or unattended limit reached again | release due | as for held: a state may be left that no attempt waits for |
 //! | any but none | [read ended](Leases::read_ended) | held | a new state is held besides any that is left |
 //! | any | [answer began](Leases::answer_began), no read lost a short time ago | none | "with FIRST all else that is held goes by itself" |
 //! | any | answer began, a read lost a short time ago | unconfirmed | "a read may have ended well at the very moment its connection was closed" |
-//! | releasing | ten times the limit without an answer, no attempt in flight | none, [abandoned](Action::LeaseAbandoned) | "what a stopped instance left is freed some seconds later" |
+//! | releasing | ten times `release_within` without an answer, no attempt in flight | none, [abandoned](Action::LeaseAbandoned) | "what a stopped instance left is freed some seconds later" |
 //!
 //! [`AttemptEnd`] says what the end of an attempt proves. A 410 does not prove that a state has gone: "the
 //! state is gone (its reader died or **is cut off**, it was released, or there never was one)".
 //!
-//! A server that has not confirmed the end of an attempt is asked itself: while its process is stopped it
-//! neither reads calls nor notices ends, however the connection has ended, and a call that it reads when it
-//! continues may leave a state. So a release is conclusive only once each such server has shown that it ran
-//! after the end, or four seconds after the first answer.
+//! A server that has not confirmed the end of an attempt is asked itself: while its process is suspended it
+//! neither reads attempts nor notices ends, however the connection has ended, and an attempt that it reads
+//! when it resumes may leave a state. So a release is conclusive only once each such server has shown that it
+//! ran after the end, or four seconds after the first answer.
 //!
 //! The caller must report [`Leases::attempt_starts`] before each attempt, and write none of its bytes before
 //! that permits it; then exactly one of [`Leases::read_ended`], [`Leases::read_lost`],
@@ -139,7 +139,7 @@
 
     /// A read succeeded, and its state waits at `reader`.
     pub fn read_ended(&mut self, request: u64, label: &L, reader: u64, now: Duration) {
-        self.end_calls(request);
+        self.stop_calls_in_flight(request);
         let limit = self.config.unattended_limit();
         self.lease_or_insert(request, label, reader, now).set_held(reader, now);
         self.schedule(request, Some(now + limit));
@@ -157,7 +157,7 @@
         self.dequeue(request);
         let limit = self.config.unattended_limit();
         let Some(lease) = self.leases.get_mut(&request) else { return };
-        if end == AttemptEnd::Answered && lease.was_released_under_attempt() {
+        if end == AttemptEnd::Answered && lease.was_released_during_attempt() {
             self.release_counts.without_effect += 1;
         }
         lease.end_attempt(server, end, now, &self.config);
@@ -172,7 +172,7 @@
     /// An attempt's answer began, and the servers drop all held states by themselves, except a state that a
     /// lost read leaves later.
     pub fn answer_began(&mut self, request: u64, now: Duration) {
-        self.end_calls(request);
+        self.stop_calls_in_flight(request);
         self.dequeue(request);
         match self.leases.get_mut(&request).and_then(|lease| lease.answer_began(now)) {
             Some(due) => self.schedule(request, Some(due)),
@@ -255,7 +255,7 @@
         let proof = lease.release_proof(call, now, reach);
         let conclusive = proof == ReleaseProof::Conclusive;
         if conclusive && lease.attempt == AttemptState::None {
-            self.end_releases(request, None);
+            self.stop_releases(request, None);
             self.remove(request);
             return Some(proof);
         }
@@ -267,7 +267,7 @@
         };
         // If the release was conclusive, an attempt that starts now finds no state; but how it ends matters
         // to a later read, so the lease stays.
-        self.end_releases(request, (!conclusive).then_some(limit_reached));
+        self.stop_releases(request, (!conclusive).then_some(limit_reached));
         self.schedule(request, Some(repeat_at.max(now)));
         Some(proof)
     }
@@ -309,7 +309,7 @@
             }
             Phase::Unconfirmed => lease.phase = Phase::ReleaseDue,
             Phase::Releasing => {
-                if self.report_late(request, now) {
+                if self.handle_late(request, now) {
                     return;
                 }
             }
@@ -318,8 +318,9 @@
         self.enqueue(request);
     }
 
-    /// Reports a state held past the time limit. Returns true if no further server is asked for now.
-    fn report_late(&mut self, request: u64, now: Duration) -> bool {
+    /// Reports a state held past the time limit once, and stops or abandons its release where that is due.
+    /// Returns true if no further server is asked now.
+    fn handle_late(&mut self, request: u64, now: Duration) -> bool {
         let LeaseConfig { release_within, grace, .. } = self.config;
         let Some(lease) = self.leases.get_mut(&request) else { return true };
         let held = now.saturating_sub(lease.unattended_since);
@@ -335,13 +336,13 @@
         if lease.attempt == AttemptState::AwaitingRelease {
             // The client of the waiting attempt does not wait longer for a release that no server answers.
             lease.phase = Phase::ReleaseDue;
-            self.end_releases(request, None);
+            self.stop_releases(request, None);
             return true;
         }
         let abandoned = lease.attempt == AttemptState::None && held >= release_within * ABANDON_FACTOR;
         if abandoned {
             self.actions.push(Action::LeaseAbandoned { label, reader });
-            self.end_releases(request, None);
+            self.stop_releases(request, None);
             self.remove(request);
         }
         abandoned
@@ -392,14 +393,14 @@
     }
 
     /// Stops the request's release calls, if any are in flight.
-    fn end_calls(&mut self, request: u64) {
+    fn stop_calls_in_flight(&mut self, request: u64) {
         if self.leases.get(&request).is_some_and(|lease| !lease.calls.is_empty()) {
-            self.end_releases(request, None);
+            self.stop_releases(request, None);
         }
     }
 
     /// Stops the request's release calls, and lets an attempt that waits for them start.
-    fn end_releases(&mut self, request: u64, write_by: Option<Duration>) {
+    fn stop_releases(&mut self, request: u64, write_by: Option<Duration>) {
         self.dequeue(request);
         let Some(lease) = self.leases.get_mut(&request) else { return };
         if lease.attempt == AttemptState::AwaitingRelease {
--- a/leases/src/release_calls.rs
+++ b/leases/src/release_calls.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Maximum number of servers asked in one round; once the state is held past the limit it is one.
+/// Maximum number of servers asked in one round; one once the lease has been reported late.
 const MAX_SERVERS_PER_ROUND: usize = 4;
 /// Maximum number of servers asked in one round if a release was answered since the last attempt ended.
 const MAX_SERVERS_PER_REPEAT_ROUND: usize = 2;
@@ -17,8 +17,8 @@
 /// Maximum number of release calls in flight at one server. Releases of further requests whose states are
 /// held there go through other servers, which pass them on.
 const MAX_CALLS_PER_SERVER: usize = 4;
-/// Number of rounds after which the number of servers asked no longer doubles.
-const MAX_DOUBLINGS: u32 = 8;
+/// Bound on the shift by the round number against overflow; `MAX_SERVERS_PER_ROUND` applies long before.
+const MAX_SHIFT: u32 = 8;
 
 /// All release calls in flight.
 #[derive(Debug)]
@@ -62,8 +62,8 @@
         let wanted = match (lease.late_reported, lease.was_released_since_end()) {
             (true, _) => 1,
             // This is only a precaution: states that no server has released yet need the connections more.
-            (false, true) => (1 << round.min(MAX_DOUBLINGS)).min(MAX_SERVERS_PER_REPEAT_ROUND),
-            (false, false) => (1 << round.min(MAX_DOUBLINGS)).min(MAX_SERVERS_PER_ROUND),
+            (false, true) => (1 << round.min(MAX_SHIFT)).min(MAX_SERVERS_PER_REPEAT_ROUND),
+            (false, false) => (1 << round.min(MAX_SHIFT)).min(MAX_SERVERS_PER_ROUND),
         };
         lease.round += 1;
         let mut chosen = Vec::new();
@@ -112,12 +112,12 @@
         {
             return Some(first);
         }
-        // The last round within the time limit starts with the server that answered most recently, since
+        // The last round within the time limit starts with the server that was reached most recently, since
         // unanswered calls may have left little room for more.
         if first && round + 1 >= ROUNDS_WITHIN_LIMIT {
-            let responsive = reach.last_answered(&excluded).filter(|server| !self.is_busy(*server));
-            if responsive.is_some() {
-                return responsive;
+            let last_reached = reach.last_answered(&excluded).filter(|server| !self.is_busy(*server));
+            if last_reached.is_some() {
+                return last_reached;
             }
         }
         for _ in 0..MAX_PICKS_PER_CALL {
--- a/router/src/clients/websocket.rs
+++ b/router/src/clients/websocket.rs
@@ -28,9 +28,9 @@
 /// Time limit for writing the answer to an upgrade.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an upgrade is refused before it asks for admission.
+/// Why an upgrade is rejected before it asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UpgradeError {
+pub enum UpgradeRejection {
     /// The path is unknown: 404.
     #[error("no such path")]
     Path,
@@ -54,33 +54,35 @@
     Key,
 }
 
-impl UpgradeError {
+impl UpgradeRejection {
     /// The name in the log and the metrics.
     fn name(self) -> &'static str {
         match self {
-            UpgradeError::Path => "bad-path",
-            UpgradeError::Method => "bad-method",
-            UpgradeError::NoUpgrade => "no-upgrade",
-            UpgradeError::Version => "bad-version",
-            UpgradeError::Unreadable => "bad-upgrade",
-            UpgradeError::Origin => "bad-origin",
-            UpgradeError::Key => "bad-key",
+            UpgradeRejection::Path => "bad-path",
+            UpgradeRejection::Method => "bad-method",
+            UpgradeRejection::NoUpgrade => "no-upgrade",
+            UpgradeRejection::Version => "bad-version",
+            UpgradeRejection::Unreadable => "bad-upgrade",
+            UpgradeRejection::Origin => "bad-origin",
+            UpgradeRejection::Key => "bad-key",
         }
     }
 
     fn answer(self) -> Response<BoxBody> {
         let mut response = match self {
-            UpgradeError::Path => Response::build(StatusCode::NOT_FOUND),
-            UpgradeError::Method => response_with(StatusCode::METHOD_NOT_ALLOWED, header::ALLOW, "GET"),
-            UpgradeError::NoUpgrade => {
+            UpgradeRejection::Path => Response::build(StatusCode::NOT_FOUND),
+            UpgradeRejection::Method => response_with(StatusCode::METHOD_NOT_ALLOWED, header::ALLOW, "GET"),
+            UpgradeRejection::NoUpgrade => {
                 response_with(StatusCode::UPGRADE_REQUIRED, header::UPGRADE, "websocket")
             }
-            UpgradeError::Version => {
+            UpgradeRejection::Version => {
                 response_with(StatusCode::UPGRADE_REQUIRED, header::SEC_WEBSOCKET_VERSION, "13")
             }
-            UpgradeError::Unreadable => Response::build(StatusCode::BAD_REQUEST),
-            UpgradeError::Origin => Response::build(StatusCode::FORBIDDEN),
-            UpgradeError::Key => response_with(StatusCode::UNAUTHORIZED, header::WWW_AUTHENTICATE, "Bearer"),
+            UpgradeRejection::Unreadable => Response::build(StatusCode::BAD_REQUEST),
+            UpgradeRejection::Origin => Response::build(StatusCode::FORBIDDEN),
+            UpgradeRejection::Key => {
+                response_with(StatusCode::UNAUTHORIZED, header::WWW_AUTHENTICATE, "Bearer")
+            }
         };
         response.force_close().body(format!("{self}\n")).map_into_boxed_body()
     }
@@ -95,30 +97,30 @@
 /// Rejects a request that asks for no upgrade.
 pub fn reject_plain(request: &Request) -> Response<BoxBody> {
     match *request.method() {
-        Method::GET => UpgradeError::NoUpgrade.answer(),
-        _ => UpgradeError::Method.answer(),
+        Method::GET => UpgradeRejection::NoUpgrade.answer(),
+        _ => UpgradeRejection::Method.answer(),
     }
 }
 
 /// The value of a field that may occur only once.
-fn single_value<'h>(fields: &'h HeaderMap, name: &HeaderName) -> Result<Option<&'h str>, UpgradeError> {
+fn single_value<'h>(fields: &'h HeaderMap, name: &HeaderName) -> Result<Option<&'h str>, UpgradeRejection> {
     let mut values = fields.get_all(name);
     let value = values.next();
     if values.next().is_some() {
-        return Err(UpgradeError::Unreadable);
+        return Err(UpgradeRejection::Unreadable);
     }
-    value.map(|value| value.to_str().map_err(|_| UpgradeError::Unreadable)).transpose()
+    value.map(|value| value.to_str().map_err(|_| UpgradeRejection::Unreadable)).transpose()
 }
 
 /// The subprotocols that the client names. Each must be a token and occur only once.
-fn parse_protocols(fields: &HeaderMap) -> Result<Vec<String>, UpgradeError> {
+fn parse_protocols(fields: &HeaderMap) -> Result<Vec<String>, UpgradeRejection> {
     let mut protocols: Vec<String> = Vec::new();
     for value in fields.get_all(header::SEC_WEBSOCKET_PROTOCOL) {
-        for name in value.to_str().map_err(|_| UpgradeError::Unreadable)?.split(',').map(str::trim) {
+        for name in value.to_str().map_err(|_| UpgradeRejection::Unreadable)?.split(',').map(str::trim) {
             let token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
             let valid = !name.is_empty() && name.len() <= 128 && name.bytes().all(token_byte);
             if !valid || protocols.iter().any(|known| known == name) || protocols.len() >= MAX_PROTOCOLS {
-                return Err(UpgradeError::Unreadable);
+                return Err(UpgradeRejection::Unreadable);
             }
             protocols.push(name.to_owned());
         }
@@ -130,27 +132,30 @@
 fn check_upgrade(
     config: &WebSocket,
     request: &Request,
-) -> Result<(Route, Option<TenantId>, UpgradeRequest), UpgradeError> {
+) -> Result<(Route, Option<TenantId>, UpgradeRequest), UpgradeRejection> {
     let (head, fields) = (request.head(), request.headers());
     if head.version != Version::HTTP_11 {
-        return Err(UpgradeError::Unreadable);
+        return Err(UpgradeRejection::Unreadable);
     }
     ws::verify_handshake(head).map_err(|error| match error {
-        ws::HandshakeError::GetMethodRequired => UpgradeError::Method,
-        ws::HandshakeError::UnsupportedVersion | ws::HandshakeError::NoVersionHeader => UpgradeError::Version,
+        ws::HandshakeError::GetMethodRequired => UpgradeRejection::Method,
+        ws::HandshakeError::UnsupportedVersion | ws::HandshakeError::NoVersionHeader => {
+            UpgradeRejection::Version
+        }
         ws::HandshakeError::NoWebsocketUpgrade | ws::HandshakeError::NoConnectionUpgrade => {
-            UpgradeError::NoUpgrade
+            UpgradeRejection::NoUpgrade
         }
-        ws::HandshakeError::BadWebsocketKey => UpgradeError::Unreadable,
+        ws::HandshakeError::BadWebsocketKey => UpgradeRejection::Unreadable,
     })?;
-    let route = config.routes.iter().find(|route| route.path == request.path()).ok_or(UpgradeError::Path)?;
+    let route =
+        config.routes.iter().find(|route| route.path == request.path()).ok_or(UpgradeRejection::Path)?;
     let origin = single_value(fields, &header::ORIGIN)?.map(str::to_ascii_lowercase);
     // A client without an origin is not a browser, so no web page acts on its behalf.
     if origin.is_some_and(|origin| !config.origins.is_empty() && !config.origins.contains(&origin)) {
-        return Err(UpgradeError::Origin);
+        return Err(UpgradeRejection::Origin);
     }
     let key = if config.keys.is_empty() { None } else { single_value(fields, &header::AUTHORIZATION)? };
-    let tenant = super::tenant_of_key(&config.keys, key).map_err(|_| UpgradeError::Key)?;
+    let tenant = super::tenant_of_key(&config.keys, key).map_err(|_| UpgradeRejection::Key)?;
     let is_forwarded = |name: &HeaderName| FORWARDED_FIELDS.contains(name) || name.as_str().starts_with("x-");
     let forwarded = fields.iter().filter(|(name, _)| is_forwarded(name));
     let ask = UpgradeRequest {
--- a/router/src/core.rs
+++ b/router/src/core.rs
@@ -33,7 +33,7 @@
 
 /// An answer is due this long before the client gives up: it still has to reach the client, whose clock started when
 /// it sent the request.
-const ANSWER_MARGIN: Duration = Duration::from_millis(15);
+const CLIENT_MARGIN: Duration = Duration::from_millis(15);
 /// A request still unanswered this long after its deadline is failed, whatever the decision module does. Without this
 /// a request could stay unanswered for ever.
 const OVERDUE_GRACE: Duration = Duration::from_millis(5);
@@ -111,7 +111,7 @@
     pub used: Option<Tokens>,
     /// The server's load report.
     pub report: Option<Report>,
-    /// Where the verdict comes from.
+    /// How the end became known.
     pub evidence: Evidence,
     /// How much of it reached the server.
     pub delivery: Delivery,
@@ -202,7 +202,7 @@
     /// The server of the attempt in flight, and how to cancel it; the latter is none once it was cancelled.
     current: Option<(Rc<Server>, Option<oneshot::Sender<()>>)>,
     /// Its leases were released while an attempt was in flight.
-    released_under_attempt: bool,
+    released_during_attempt: bool,
     /// Starts the attempt that waits for a release.
     release_done: Option<oneshot::Sender<Option<Instant>>>,
     /// Time from its arrival to its first attempt.
@@ -216,9 +216,9 @@
     /// The last reader and the last other server to which it was sent.
     route: [Option<Rc<Server>>; 2],
     /// Its answer's stream has begun.
-    started: bool,
+    answer_began: bool,
     /// Its final answer is decided, or its client has left.
-    answered: bool,
+    settled: bool,
     client_left: bool,
     /// Its final outcome was counted and logged.
     outcome_recorded: Cell<bool>,
@@ -244,7 +244,7 @@
 
 /// The core of one router.
 pub struct Core {
-    router: RefCell<Router>,
+    decision_module: RefCell<Router>,
     names: shedrelay_settings::Names,
     roles: Vec<Role>,
     /// The repeat policy of each class.
@@ -261,13 +261,13 @@
     start_times: RefCell<StartTimes>,
     servers: RefCell<Option<Rc<dyn Servers>>>,
     serve_detached: RefCell<Option<ServeDetached>>,
-    /// The owner of long-lived connections.
+    /// Called with updates of the server list, after the decision module.
     on_list_update: RefCell<Option<OnListUpdate>>,
     /// By class, in the order of the settings. An unknown class is not counted.
     outcome_counts: RefCell<Vec<OutcomeCounts>>,
     dispatches: Rc<Cell<u64>>,
     /// How long the decision module took for each event.
-    decisions: Option<Histogram>,
+    decision_times: Option<Histogram>,
     /// The usage ledger, if one is kept.
     usage: Option<Rc<Usage>>,
     /// Counts of violated invariants.
@@ -295,11 +295,11 @@
             let (aim, per_1000) = (class.aim.secs() * 1e3, class.aim_per_1000.secs() * 1e3);
             log!("class name={name:?} aim_ms={aim} aim_per_1000_ms={per_1000} worth={}", class.worth);
         }
-        let router = Router::new(settings, seed)?;
+        let decision_module = Router::new(settings, seed)?;
         let outcome_counts = RefCell::new(vec![OutcomeCounts::default(); names.classes.len()]);
         let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Ok(Rc::new_cyclic(|weak| Core {
-            router: RefCell::new(router),
+            decision_module: RefCell::new(decision_module),
             names,
             roles,
             repeat_policies,
@@ -315,7 +315,7 @@
             on_list_update: RefCell::default(),
             outcome_counts,
             dispatches: Rc::default(),
-            decisions: decision_times(),
+            decision_times: decision_times(),
             usage,
             violations: Violations::default(),
             started_at: Instant::now(),
@@ -350,12 +350,12 @@
 
     /// Lets the decision module choose a server for a long-lived connection.
     pub fn place_connection(&self, candidates: &[ServerId]) -> Option<ServerId> {
-        self.router.borrow_mut().place_connection(self.now(), candidates)
+        self.decision_module.borrow_mut().place_connection(self.now(), candidates)
     }
 
     /// Changes a server's load from long-lived connections by this many tokens.
     pub fn add_connection_load(&self, server: ServerId, tokens: f64) {
-        self.router.borrow_mut().add_connection_load(server, tokens);
+        self.decision_module.borrow_mut().add_connection_load(server, tokens);
     }
 
     /// A listed server.
@@ -425,7 +425,7 @@
 
     /// How long decisions took, in seconds.
     pub fn decision_times(&self) -> Option<Histogram> {
-        self.decisions.clone()
+        self.decision_times.clone()
     }
 
     /// The counter behind [`Core::dispatches`].
@@ -437,12 +437,12 @@
     /// answer does not count.
     pub fn concurrent(&self) -> usize {
         let requests = self.requests.borrow();
-        requests.values().filter(|open| !open.client_left && (!open.answered || open.started)).count()
+        requests.values().filter(|open| !open.client_left && (!open.settled || open.answer_began)).count()
     }
 
     /// How many servers are listed, and how many of these the decision module excludes now.
     pub fn server_counts(&self) -> (usize, usize) {
-        (self.list.borrow().len(), self.router.borrow().excluded_servers(self.now()))
+        (self.list.borrow().len(), self.decision_module.borrow().excluded_servers(self.now()))
     }
 
     /// Counts a request that ended before it was submitted. An unknown class is not counted.
@@ -473,7 +473,7 @@
                 for (id, server) in list.iter().filter(|(id, _)| !listed.contains(id)) {
                     mark_draining(server, now);
                     retired.push((*id, server.clone()));
-                    self.start_times.borrow_mut().dropped(id.0, self.lease_time());
+                    self.start_times.borrow_mut().dropped(id.0, self.clock_time());
                 }
                 list.retain(|id, _| listed.contains(id));
                 dropped = retired.len();
@@ -506,12 +506,12 @@
                 // Otherwise the list would grow with every server that ever joined.
                 if member.state == ServerState::Left {
                     list.remove(&member.server);
-                    self.start_times.borrow_mut().dropped(member.server.0, self.lease_time());
+                    self.start_times.borrow_mut().dropped(member.server.0, self.clock_time());
                 }
                 members.push(member);
             }
         }
-        self.start_times.borrow_mut().sweep(self.lease_time());
+        self.start_times.borrow_mut().sweep(self.clock_time());
         if let Some(servers) = self.servers.borrow().as_ref() {
             retired.iter().for_each(|(_, server)| servers.retire(server));
         }
@@ -546,15 +546,15 @@
             return None;
         }
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let clocks = Clocks { monotonic: self.lease_time(), wall };
-        let current = current.map(|at| self.lease_time_at(at));
+        let clocks = Clocks { monotonic: self.clock_time(), wall };
+        let current = current.map(|at| self.clock_time_at(at));
         let stamp = Duration::from_millis(entry.up_since_ms);
         let start = self.start_times.borrow_mut().listed(server_id(&entry.id).0, stamp, clocks, current);
         Some(Time(start.as_nanos() as u64))
     }
 
-    /// The time of leases at an instant.
-    fn lease_time_at(&self, at: Instant) -> Duration {
+    /// The decision module's clock at an instant.
+    fn clock_time_at(&self, at: Instant) -> Duration {
         Duration::from_nanos(self.unix_start_ns) + at.saturating_duration_since(self.started_at)
     }
 
@@ -580,7 +580,7 @@
     pub fn submit(&self, exchange: Rc<Exchange>) -> Option<ClientEnd> {
         let call = &exchange.call;
         let id = RequestId(self.last_request_id.get() + 1);
-        let budget = call.budget.saturating_sub(ANSWER_MARGIN);
+        let budget = call.budget.saturating_sub(CLIENT_MARGIN);
         let deadline = call.arrived + budget;
         if self.labels.borrow().contains_key(&call.label) {
             return None;
@@ -618,15 +618,15 @@
             attempts: 0,
             history: Attempts::default(),
             current: None,
-            released_under_attempt: false,
+            released_during_attempt: false,
             release_done: None,
             sent_after: None,
             read_after: None,
             kept: None,
             first_event_after: None,
             route: [None, None],
-            started: false,
-            answered: false,
+            answer_began: false,
+            settled: false,
             client_left: false,
             outcome_recorded: Cell::new(false),
         };
@@ -640,11 +640,11 @@
 
     fn client_left(&self, id: RequestId) {
         match self.requests.borrow_mut().get_mut(&id) {
-            Some(open) if !open.client_left && !open.answered => {
-                (open.client_left, open.answered) = (true, true);
+            Some(open) if !open.client_left && !open.settled => {
+                (open.client_left, open.settled) = (true, true);
                 self.record_outcome(id, open, "client-left", None);
             }
-            Some(open) if !open.client_left && open.started => {
+            Some(open) if !open.client_left && open.answer_began => {
                 open.client_left = true;
                 // Cancels the attempt: nobody reads its stream any more.
                 if let Some(cancel) = open.current.as_mut().and_then(|current| current.1.take()) {
@@ -685,15 +685,15 @@
             attempts: 1,
             history: Attempts::default(),
             current: Some((server.clone(), Some(cancel))),
-            released_under_attempt: false,
+            released_during_attempt: false,
             release_done: None,
             sent_after: None,
             read_after: None,
             kept: None,
             first_event_after: None,
             route: [None, None],
-            started: true,
-            answered: true,
+            answer_began: true,
+            settled: true,
             client_left: false,
             outcome_recorded: Cell::new(false),
         };
@@ -744,7 +744,7 @@
 
     /// Fails a request that the decision module has left unanswered past its deadline, so the client gets an answer.
     fn fail_overdue(&self, id: RequestId) {
-        let unanswered = self.requests.borrow().get(&id).is_some_and(|open| !open.answered);
+        let unanswered = self.requests.borrow().get(&id).is_some_and(|open| !open.settled);
         if unanswered {
             log!("request overdue number={}", id.0);
             self.answer(id, Opening::Failed);
@@ -759,15 +759,15 @@
         {
             let mut requests = self.requests.borrow_mut();
             let Some(open) = requests.get_mut(&request) else { return false };
-            if open.answered || open.attempts != attempt.0 + 1 {
+            if open.settled || open.attempts != attempt.0 + 1 {
                 return false;
             }
-            (open.started, open.answered) = (true, true);
+            (open.answer_began, open.settled) = (true, true);
             open.first_event_after = Some(open.exchange.call.arrived.elapsed());
             // With the first event, servers release all that they hold for the request.
-            self.leases.borrow_mut().answer_began(request.0, self.lease_time());
-            if open.released_under_attempt {
-                self.releases.count_needless();
+            self.leases.borrow_mut().answer_began(request.0, self.clock_time());
+            if open.released_during_attempt {
+                self.releases.count_answered_anyway();
             }
             open.exchange.begin_answer(Opening::Stream);
         }
@@ -805,7 +805,7 @@
             let Some(open) = requests.get_mut(&request) else { return };
             let Some((server, _)) = open.current.take() else { return };
             let reads = server.role == Role::Reader;
-            let (server_id, now) = (server_id(&server.label).0, self.lease_time());
+            let (server_id, now) = (server_id(&server.label).0, self.clock_time());
             let mut leases = self.leases.borrow_mut();
             let end = attempt_end(&result);
             let label = || Rc::from(open.exchange.call.label.as_str());
@@ -823,7 +823,7 @@
             drop(leases);
             if !result.delivery.may_have_run() && verdict == Verdict::Cancelled {
                 // It was not sent completely, so it never ran.
-                verdict = if open.answered { Verdict::Moot } else { Verdict::NoRoute };
+                verdict = if open.settled { Verdict::Moot } else { Verdict::NoRoute };
             }
             if !reads && result.evidence == Evidence::Silence && open.history.first_possible_run().is_some() {
                 self.repeat_counts.count_unconfirmed();
@@ -832,7 +832,7 @@
                 true => verdict.proof(reads, result.evidence),
                 false => Proof::NeverSent,
             });
-            if open.started {
+            if open.answer_began {
                 let outcome = match (open.client_left, verdict) {
                     (_, Verdict::Ok) => "served",
                     (true, _) => "client-left",
@@ -859,7 +859,7 @@
                     log_millis(result.connection.and_then(|connection| connection.silent_for))
                 );
             }
-            open.answered
+            open.settled
         };
         let AttemptResult { kept, report, evidence, .. } = result;
         let outcome = Outcome { request, attempt, verdict, evidence, settled, kept, report };
@@ -869,8 +869,8 @@
 
     /// Gives the final answer, if the client has none yet.
     fn answer(&self, id: RequestId, opening: Opening) {
-        if let Some(open) = self.requests.borrow_mut().get_mut(&id).filter(|open| !open.answered) {
-            open.answered = true;
+        if let Some(open) = self.requests.borrow_mut().get_mut(&id).filter(|open| !open.settled) {
+            open.settled = true;
             if Instant::now() > open.deadline + ANSWER_LOST_AFTER {
                 self.record_violation(Invariant::AnswerInTime, &format!("id={}", open.exchange.call.label));
             }
@@ -886,14 +886,14 @@
 
     /// Gives a refusal as the final answer, or a failure if the attempts don't prove that a retry is harmless. The
     /// decision module checks the same, but without what is known here of an attempt in flight.
-    fn refuse(&self, id: RequestId, back_off: Option<Duration>) {
-        let now = self.lease_time();
+    fn refuse(&self, id: RequestId, backoff: Option<Duration>) {
+        let now = self.clock_time();
         let may_refuse = |open: &OpenRequest| {
             let policy = self.repeat_policy(open.exchange.call.class);
-            open.history.may_refuse(policy, now, back_off.unwrap_or_default())
+            open.history.may_refuse(policy, now, backoff.unwrap_or_default())
         };
         let allowed = self.requests.borrow().get(&id).is_none_or(may_refuse);
-        self.answer(id, if allowed { Opening::Refused(back_off) } else { Opening::Failed });
+        self.answer(id, if allowed { Opening::Refused(backoff) } else { Opening::Failed });
     }
 
     /// The repeat policy of a class. Requests of an unknown class are never repeated.
@@ -906,7 +906,7 @@
     pub fn fail_all(&self) {
         let waiting: Vec<RequestId> = {
             let requests = self.requests.borrow();
-            requests.iter().filter(|(_, open)| !open.answered).map(|(id, _)| *id).collect()
+            requests.iter().filter(|(_, open)| !open.settled).map(|(id, _)| *id).collect()
         };
         for id in waiting {
             let cancel = |open: &mut OpenRequest| open.current.as_mut().and_then(|current| current.1.take());
@@ -933,7 +933,7 @@
                 label: call.label.clone(),
                 class: self.class_name(call.class).to_owned(),
                 outcome: usage::outcome(outcome),
-                answer_began: open.started,
+                answer_began: open.answer_began,
                 reported_tokens: tokens,
                 declared_prompt_tokens: call.prompt_len as i64,
             };
@@ -969,11 +969,11 @@
     fn remove_if_finished(&self, id: RequestId) {
         {
             let mut requests = self.requests.borrow_mut();
-            if requests.get(&id).is_some_and(|open| open.answered && open.current.is_none())
+            if requests.get(&id).is_some_and(|open| open.settled && open.current.is_none())
                 && let Some(open) = requests.remove(&id)
             {
                 self.labels.borrow_mut().remove(&open.exchange.call.label);
-                self.leases.borrow_mut().request_closed(id.0, self.lease_time());
+                self.leases.borrow_mut().request_closed(id.0, self.clock_time());
             }
         }
         self.poll_leases();
@@ -984,9 +984,9 @@
     fn handle(&self, event: Event) {
         let mut actions = Vec::new();
         let started = Instant::now();
-        self.router.borrow_mut().handle(self.now(), event, &mut actions);
-        if let Some(decisions) = &self.decisions {
-            decisions.observe(started.elapsed().as_secs_f64());
+        self.decision_module.borrow_mut().handle(self.now(), event, &mut actions);
+        if let Some(decision_times) = &self.decision_times {
+            decision_times.observe(started.elapsed().as_secs_f64());
         }
         let released = |action: &Action| match action {
             Action::Release(request) => Some(*request),
@@ -1018,7 +1018,7 @@
                 self.remove_later(request);
             }
             Action::Release(request) => {
-                self.leases.borrow_mut().release(request.0, self.lease_time());
+                self.leases.borrow_mut().release(request.0, self.clock_time());
             }
             Action::Timer { timer, after } => {
                 let weak = self.weak_self.clone();
@@ -1057,7 +1057,7 @@
         }
         // Only the decision module knows which servers deduplicate together, so any server passes here.
         let policy = self.repeat_policy(open.exchange.call.class);
-        let allowed = open.history.may_repeat(policy, self.lease_time(), |_| true);
+        let allowed = open.history.may_repeat(policy, self.clock_time(), |_| true);
         if !allowed {
             self.record_violation(
                 Invariant::RepeatPermitted,
@@ -1112,8 +1112,8 @@
         open.sent_after.get_or_insert_with(|| open.exchange.call.arrived.elapsed());
         let now = Instant::now();
         let repeat = self.repeat_limits(open, &server);
-        open.history.begin(to, self.lease_time());
-        let (write_by, release_done) = match self.leases.borrow_mut().attempt_starts(id.0, self.lease_time())
+        open.history.begin(to, self.clock_time());
+        let (write_by, release_done) = match self.leases.borrow_mut().attempt_starts(id.0, self.clock_time())
         {
             Permission::Now { write_by } => (write_by.map(|at| self.instant(at)), None),
             Permission::AfterRelease => {
--- a/router/src/core/leases.rs
+++ b/router/src/core/leases.rs
@@ -19,29 +19,29 @@
     calls: RefCell<HashMap<u64, Vec<(ServerId, AbortOnDrop)>>>,
     /// Requests whose leases were released while an attempt was in flight.
     during_attempt: Cell<u64>,
-    /// Those of them whose attempt was answered after all.
-    needless: Cell<u64>,
+    /// Those of them that were answered anyway.
+    answered_anyway: Cell<u64>,
 }
 
 impl Releases {
-    fn count_under_attempt(&self) {
+    fn count_during_attempt(&self) {
         self.during_attempt.set(self.during_attempt.get() + 1);
     }
 
-    /// Counts an attempt that was answered although the state it needed had been released.
-    pub(super) fn count_needless(&self) {
-        self.needless.set(self.needless.get() + 1);
+    /// Counts a request that was answered although its leases had been released during an attempt.
+    pub(super) fn count_answered_anyway(&self) {
+        self.answered_anyway.set(self.answered_anyway.get() + 1);
     }
 }
 
 impl Core {
-    /// The clock of the leases, which is the decision module's.
-    pub(super) fn lease_time(&self) -> Duration {
+    /// The decision module's clock as a duration.
+    pub(super) fn clock_time(&self) -> Duration {
         Duration::from_nanos(self.now().0)
     }
 
-    pub(super) fn instant(&self, lease_time: Duration) -> Instant {
-        self.started_at + lease_time.saturating_sub(Duration::from_nanos(self.unix_start_ns))
+    pub(super) fn instant(&self, clock_time: Duration) -> Instant {
+        self.started_at + clock_time.saturating_sub(Duration::from_nanos(self.unix_start_ns))
     }
 
     /// How many requests have leases, and how many had leases that were released too late.
@@ -55,23 +55,29 @@
         self.leases.borrow().release_counts()
     }
 
-    /// How many requests had leases released while an attempt was in flight, and for how many of them the attempt was
-    /// answered after all.
+    /// How many requests had leases released while an attempt was in flight, and how many of them were answered
+    /// anyway.
     pub fn during_attempt_counts(&self) -> (u64, u64) {
-        (self.releases.during_attempt.get(), self.releases.needless.get())
+        (self.releases.during_attempt.get(), self.releases.answered_anyway.get())
     }
 
     /// Carries out the lease actions that are due, and sets the timer for the next ones.
     pub(super) fn poll_leases(&self) {
         let mut unlisted = Vec::new();
         loop {
-            let now = self.lease_time();
+            let now = self.clock_time();
             let actions = {
-                let (mut leases, router) = (self.leases.borrow_mut(), self.router.borrow());
+                let (mut leases, decision_module) = (self.leases.borrow_mut(), self.decision_module.borrow());
                 for (request, server) in unlisted.drain(..) {
-                    leases.release_ended(request, server, ReleaseOutcome::Failed, now, router.reach());
+                    leases.release_ended(
+                        request,
+                        server,
+                        ReleaseOutcome::Failed,
+                        now,
+                        decision_module.reach(),
+                    );
                 }
-                leases.poll(now, router.reach())
+                leases.poll(now, decision_module.reach())
             };
             if actions.is_empty() {
                 break;
@@ -83,7 +89,7 @@
                         None => unlisted.push((request, server)),
                     },
                     Action::ReleasedDuringAttempt { request, reader, held } => {
-                        self.released_under_attempt(RequestId(request), reader, held);
+                        self.released_during_attempt(RequestId(request), reader, held);
                     }
                     Action::StopReleases { request, write_by } => {
                         self.releases.calls.borrow_mut().remove(&request);
@@ -130,12 +136,12 @@
     }
 
     /// A request's leases are released while an attempt is in flight, since nothing shows that it has arrived.
-    fn released_under_attempt(&self, id: RequestId, reader: u64, held: Duration) {
+    fn released_during_attempt(&self, id: RequestId, reader: u64, held: Duration) {
         {
             let mut requests = self.requests.borrow_mut();
             let Some(open) = requests.get_mut(&id) else { return };
-            open.released_under_attempt = true;
-            self.releases.count_under_attempt();
+            open.released_during_attempt = true;
+            self.releases.count_during_attempt();
             let reader = self.server(ServerId(reader));
             let sent_to = open.current.as_ref().map(|(server, _)| server.clone());
             log!(
@@ -162,8 +168,8 @@
                 core.handle(Event::Probed { server: id, ok, report: None });
             }
             let proof = {
-                let (mut leases, router) = (core.leases.borrow_mut(), core.router.borrow());
-                leases.release_ended(request, id.0, outcome, core.lease_time(), router.reach())
+                let (mut leases, decision_module) = (core.leases.borrow_mut(), core.decision_module.borrow());
+                leases.release_ended(request, id.0, outcome, core.clock_time(), decision_module.reach())
             };
             if let Some(proof) = proof {
                 log!("hold released id={label} by={} proof={}", server.label, proof_name(proof));
--- a/router/src/core/repeats.rs
+++ b/router/src/core/repeats.rs
@@ -1,8 +1,8 @@
 //! Limits for repeats, which are attempts after one that may have run. Servers drop repeats within a deduplication
 //! window.
 //!
-//! While a server's process is paused, its machine still receives data, and the process reads it when it resumes, even
-//! after its connection was reset. So a repeat must reach a running process while the window is still open.
+//! While a server's process is suspended, its machine still receives data, and the process reads it when it resumes,
+//! even after its connection was reset. So a repeat must reach a running process while the window is still open.
 
 use super::{Core, OpenRequest, Server};
 use fawnstream_attempts::{MAX_TRANSIT, RepeatPolicy};
