--- a/router/src/operators/metrics.rs
+++ b/router/src/operators/metrics.rs
@@ -67,16 +67,16 @@
         violations,
     );
     let (reloads, failed) = shared.reloads.get();
-    let (targets, disabled) = core.targets();
+    let (targets, disabled) = core.server_counts();
     scrape.counter("dispatches", "Attempts written whole to workers.", core.dispatches());
     scrape.gauge("concurrent", "Requests taken and not ended.", core.concurrent());
-    if let Some(decisions) = core.decisions() {
+    if let Some(decisions) = core.decision_times() {
         let _ = scrape.0.register(Box::new(decisions));
     }
     let (held, late) = core.lease_counts();
     scrape.gauge("holds", "Requests for which something is held at servers, or is being let go of.", held);
     scrape.counter("holds_late", "Requests for which something was held past the rule's time.", late);
-    let (overdue, needless) = core.overdue_leases();
+    let (overdue, needless) = core.during_attempt_counts();
     let help = "Requests of which what was held was let go of while a call was out that nobody had answered.";
     scrape.counter("holds_overdue", help, overdue);
     scrape.counter("holds_overdue_answered", "Those of them whose call was answered after all.", needless);
@@ -84,12 +84,12 @@
     let kinds = [
         ("needed", releases.needed),
         ("repeated", releases.repeated),
-        ("under_attempt", releases.under_attempt),
+        ("under_attempt", releases.during_attempt),
     ];
     let help = "Releases that servers answered, by what they were made for.";
     scrape.counter_by("releases", help, "kind", kinds.into_iter());
     let help = "Attempts that had waited for a state that was released under them: that release was in vain.";
-    scrape.counter("releases_in_vain", help, releases.in_vain);
+    scrape.counter("releases_in_vain", help, releases.without_effect);
     let repeats = core.repeat_counts();
     let help = "Repeats of requests that may have run, by whether their worker showed first that it runs.";
     scrape.counter_by("repeats", help, "sign", repeats.by_sign().into_iter());
